--- a/heathford/local/deployment.py
+++ b/heathford/local/deployment.py
@@ -27,14 +27,27 @@
 
     @classmethod
     async def start(
-        cls, name: str, *arguments: str, log_level: str = "warning", log_file: Any = None,
+        cls,
+        name: str,
+        *arguments: str,
+        log_level: str = "warning",
+        log_file: Any = None,
         program: tuple[str, ...] = (),
     ) -> "Process":
         """program: a module, with arguments of its own, that takes the command line's place."""
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", *(program or ("heathford.cli.main",)), "--log-level", log_level, *arguments,
-            stdin=asyncio.subprocess.PIPE, stdout=asyncio.subprocess.PIPE, stderr=log_file,
-            start_new_session=True, env={**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, sys.path))})
+            sys.executable,
+            "-m",
+            *(program or ("heathford.cli.main",)),
+            "--log-level",
+            log_level,
+            *arguments,
+            stdin=asyncio.subprocess.PIPE,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=log_file,
+            start_new_session=True,
+            env={**os.environ, "PYTHONPATH": os.pathsep.join(filter(None, sys.path))},
+        )
         assert process.stdout
         try:
             line = await asyncio.wait_for(process.stdout.readline(), PATIENCE)
@@ -60,10 +73,17 @@
 def entry(script: Script, engine: Declared, address: str, phase: str, start: str) -> dict[str, Any]:
     """An engine as the registry lists it."""
     rack = script.named("rack", engine.rack)
-    return {"metadata": {"name": engine.name, "uid": engine.name},
-            "spec": {"address": address, "kind": engine.kind, "zone": rack.zone, "rack": engine.rack,
-                     "size": engine.size},
-            "status": {"phase": phase, "startTime": start}}
+    return {
+        "metadata": {"name": engine.name, "uid": engine.name},
+        "spec": {
+            "address": address,
+            "kind": engine.kind,
+            "zone": rack.zone,
+            "rack": engine.rack,
+            "size": engine.size,
+        },
+        "status": {"phase": phase, "startTime": start},
+    }
 
 
 async def ask(host: str, port: int, said: dict[str, Any]) -> Any:
@@ -98,11 +118,19 @@
     async def start_stand_ins(self) -> None:
         path = str(self.script.path)
         self.registry = await Process.start(
-            "registry", "stand-in", "registry", path, "--address", self.host,
-            "--port", str(self.script.only("registry").port))
+            "registry",
+            "stand-in",
+            "registry",
+            path,
+            "--address",
+            self.host,
+            "--port",
+            str(self.script.only("registry").port),
+        )
         names = [e.name for e in self.script.all("engine")]
-        started = await asyncio.gather(*(
-            Process.start(n, "stand-in", "engine", path, "--name", n) for n in names))
+        started = await asyncio.gather(
+            *(Process.start(n, "stand-in", "engine", path, "--name", n) for n in names)
+        )
         self.engines = dict(zip(names, started, strict=True))
 
     def address(self, engine: str) -> str:
@@ -116,19 +144,40 @@
         return await ask("127.0.0.1", self.engines[name].ready["commands"], said)
 
     async def list_engines(self, address: Callable[[str], str]) -> None:
-        await self.tell_registry({"do": "put_now", "items": [
-            entry(self.script, e, address(e.name), "Running", LONG_AGO) for e in self.script.all("engine")]})
+        await self.tell_registry(
+            {
+                "do": "put_now",
+                "items": [
+                    entry(self.script, e, address(e.name), "Running", LONG_AGO)
+                    for e in self.script.all("engine")
+                ],
+            }
+        )
 
     async def start_front(
-        self, number: int, registry: tuple[str, int] | None = None, log_file: Any = None,
-        log_level: str = "warning", program: tuple[str, ...] = (),
+        self,
+        number: int,
+        registry: tuple[str, int] | None = None,
+        log_file: Any = None,
+        log_level: str = "warning",
+        program: tuple[str, ...] = (),
     ) -> Process:
         declared = self.script.all("front")[number]
         assert self.registry
         host, port = registry or (self.host, self.registry.ready["port"])
         front = await Process.start(
-            declared.name, "front", str(self.script.path), "--number", str(number), "--registry",
-            f"{host}:{port}", "--with-parent", log_file=log_file, log_level=log_level, program=program)
+            declared.name,
+            "front",
+            str(self.script.path),
+            "--number",
+            str(number),
+            "--registry",
+            f"{host}:{port}",
+            "--with-parent",
+            log_file=log_file,
+            log_level=log_level,
+            program=program,
+        )
         self.fronts[declared.name] = front
         return front
 
@@ -159,7 +208,8 @@
             "fronts": [f.ready["url"] for f in deployment.fronts.values()],
             "engines": [f"http://{deployment.address(e)}" for e in deployment.engines],
             "registry": f"http://{deployment.host}:{deployment.registry.ready['port']}/api/v1/engines",
-            "workloads": [w.name for w in script.all("workload")]}
+            "workloads": [w.name for w in script.all("workload")],
+        }
         if ready_file:
             part = ready_file.with_name(ready_file.name + ".part")
             part.write_bytes(orjson.dumps(ready, option=orjson.OPT_INDENT_2))
--- a/heathford/log_stream.py
+++ b/heathford/log_stream.py
@@ -25,7 +25,7 @@
         """Write a line, or drop it."""
         data = text.encode(errors="backslashreplace")
         if len(data) > LONGEST_LINE:
-            data = data[:LONGEST_LINE - 1] + b"\n"
+            data = data[: LONGEST_LINE - 1] + b"\n"
         try:
             if self.poll.poll(0):
                 os.write(self.descriptor, data)
--- a/heathford/platform/asking.py
+++ b/heathford/platform/asking.py
@@ -34,7 +34,11 @@
 
 
 def ask(
-    core: Core, sink: Sink, request: Request, workloads: Mapping[str, int], open_names: Mapping[str, Taken],
+    core: Core,
+    sink: Sink,
+    request: Request,
+    workloads: Mapping[str, int],
+    open_names: Mapping[str, Taken],
     received: float,
 ) -> Taken:
     """Takes what was asked, or raises RefusedError: before the core has seen any of it. workloads: their
@@ -61,7 +65,7 @@
     if not budget:
         raise RefusedError(400, "no time left")
     cost = headers.get("x-call-cost")
-    hint = whole_number(cost, "X-Call-Cost", 10 ** 12) / 1e6 if cost else 0.0
+    hint = whole_number(cost, "X-Call-Cost", 10**12) / 1e6 if cost else 0.0
     key = headers.get(KEY, "")
     if not KEY_VALUE.fullmatch(key):
         raise RefusedError(400, f"{KEY} can't be read")
@@ -84,7 +88,19 @@
     if body.get("stream") is not True or not isinstance(body.get("messages"), list):
         raise RefusedError(400, "the body asks for no stream, or brings no messages")
     return core.take(
-        sink, workload, 0, word(headers.get("x-route-hash", ""), "X-Route-Hash"),
-        word(info["prefix"], "prefix"), prompt, shared, longest, budget / 1000,
-        (request.target, bytes(request.body)), mark=key, received=received, name=name, answer_hint=hint,
-        size=len(request.body))
+        sink,
+        workload,
+        0,
+        word(headers.get("x-route-hash", ""), "X-Route-Hash"),
+        word(info["prefix"], "prefix"),
+        prompt,
+        shared,
+        longest,
+        budget / 1000,
+        (request.target, bytes(request.body)),
+        mark=key,
+        received=received,
+        name=name,
+        answer_hint=hint,
+        size=len(request.body),
+    )
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -26,8 +26,14 @@
     link: "PlatformLink"
 
     def __init__(
-        self, link: "PlatformLink", endpoint: Endpoint, name: str, body: tuple[str, bytes], mark: str,
-        timeout: float, events: CallEvents,
+        self,
+        link: "PlatformLink",
+        endpoint: Endpoint,
+        name: str,
+        body: tuple[str, bytes],
+        mark: str,
+        timeout: float,
+        events: CallEvents,
     ) -> None:
         super().__init__(link, endpoint, timeout)
         self.name, self.body, self.mark, self.events = name, body, mark, events
--- a/heathford/platform/exchange.py
+++ b/heathford/platform/exchange.py
@@ -20,9 +20,18 @@
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: some segments, so that it need not wait
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: what the kernel still holds is dropped
 
-OWN_TROUBLE = frozenset({
-    errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EAGAIN, errno.EINTR,
-    errno.ENETDOWN})  # failures of this machine: they say nothing of the engine
+OWN_TROUBLE = frozenset(
+    {
+        errno.EADDRNOTAVAIL,
+        errno.EMFILE,
+        errno.ENFILE,
+        errno.ENOBUFS,
+        errno.ENOMEM,
+        errno.EAGAIN,
+        errno.EINTR,
+        errno.ENETDOWN,
+    }
+)  # failures of this machine: they say nothing of the engine
 CONNECT_AGAIN = 0.02  # s until a connect that failed by trouble of our own is tried again
 
 
@@ -56,7 +65,8 @@
         # in user space when a connection is given up is known never to have left. Costs turns of the loop.
         with suppress(OSError):
             transport.get_extra_info("socket").setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_IN_KERNEL)
+                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_IN_KERNEL
+            )
         transport.set_write_buffer_limits(high=0)  # so that pause and resume tell of unwritten bytes
 
     def pause_writing(self) -> None:
@@ -182,7 +192,8 @@
         while True:
             try:
                 await self.loop.create_connection(
-                    lambda: connection, self.endpoint.address, self.endpoint.port)
+                    lambda: connection, self.endpoint.address, self.endpoint.port
+                )
                 return
             except OSError as problem:
                 if problem.errno not in OWN_TROUBLE or self.over:
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -45,14 +45,19 @@
     late_reads = True  # a close is no recall: a process reads what its machine has taken before it
 
     def __init__(
-        self, connect_timeout: float, pin_limit: float, idle: float, connections: int,
+        self,
+        connect_timeout: float,
+        pin_limit: float,
+        idle: float,
+        connections: int,
         listed: Callable[[], tuple[Sequence[Endpoint], Sequence[Endpoint]]],
     ) -> None:
         self.listed = listed
         self.loop = asyncio.get_running_loop()
         self.connect_timeout, self.pin_limit = connect_timeout, pin_limit
         self.pools: Pools[EngineConnection] = Pools(
-            IDLE_PART * idle, connections, SETTLED, kept_back(connections))
+            IDLE_PART * idle, connections, SETTLED, kept_back(connections)
+        )
         self.silent_engines = SilentEngines(lambda address: self.pools.pool(*address).heard_at)
         self.tasks = Tasks("link")
         self.releases: dict[str, StateRelease] = {}  # by completion
@@ -64,8 +69,14 @@
         self.stopped = False
 
     def send(
-        self, endpoint: Endpoint, name: str, body: Any, kv: Mapping[str, Any] | None, mark: str,
-        timeout: float, events: CallEvents,
+        self,
+        endpoint: Endpoint,
+        name: str,
+        body: Any,
+        kv: Mapping[str, Any] | None,
+        mark: str,
+        timeout: float,
+        events: CallEvents,
     ) -> EngineCall:
         call = EngineCall(self, endpoint, name, body, mark, timeout, events)
         if name in self.again:
@@ -129,8 +140,7 @@
     ) -> None:
         if name in self.again:
             self.again[name].cancel()
-        self.again[name] = self.loop.call_later(
-            after, self.release_again, endpoint, name, events, then_after)
+        self.again[name] = self.loop.call_later(after, self.release_again, endpoint, name, events, then_after)
 
     def heard_at(self, endpoint: Endpoint) -> float:
         """When anything came from that engine last, while a connection to it has stood."""
@@ -143,9 +153,7 @@
         call = ReleaseCall(self, endpoint, name, within)
         call.status.add_done_callback(lambda status: told(status.result() not in (NO_ANSWER, REFUSED)))
 
-    def release_again(
-        self, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float
-    ) -> None:
+    def release_again(self, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float) -> None:
         """Guards against a release that is read, on another connection, before the prefill that was given up
         ends well, and against one that nobody confirmed: what is left would stay. Not where another attempt
         has begun: it names the request, and would take what that leaves. Costs a few calls for each prefill
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -70,7 +70,11 @@
     """told: the configuration, checked."""
 
     def __init__(
-        self, name: str, listen: tuple[str, int], discovery: tuple[str, int], told: Mapping[str, Any],
+        self,
+        name: str,
+        listen: tuple[str, int],
+        discovery: tuple[str, int],
+        told: Mapping[str, Any],
         path: Path,
     ) -> None:
         self.name, self.listen, self.path = name, listen, path
@@ -78,20 +82,37 @@
         settings = told["settings"]
         limits, figures = settings["policyLimits"], figures_of(settings)
         descriptors = Descriptors.of(
-            int(told["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0]))
+            int(told["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        )
         self.instances = Instances(
-            {kind: (place, known.role) for place, (kind, known) in
-             enumerate(zip(settings["kinds"], figures["kinds"], strict=True))}, settings["azs"],
-            figures["warm_after"])
+            {
+                kind: (place, known.role)
+                for place, (kind, known) in enumerate(zip(settings["kinds"], figures["kinds"], strict=True))
+            },
+            settings["azs"],
+            figures["warm_after"],
+        )
         self.link = PlatformLink(
-            limits["connectTimeoutNs"] / NS, figures["pin_limit"], limits["connIdleNs"] / NS,
-            descriptors.engines, lambda: self.instances.listed(figures["zone"]))
+            limits["connectTimeoutNs"] / NS,
+            figures["pin_limit"],
+            limits["connIdleNs"] / NS,
+            descriptors.engines,
+            lambda: self.instances.listed(figures["zone"]),
+        )
         self.core = Core(
-            self.loop, self.link, name, seed_of(told), answer_margin=ANSWER_MARGIN,
-            subscribe=settings.get("registryMode") == "subscribe", **figures)
+            self.loop,
+            self.link,
+            name,
+            seed_of(told),
+            answer_margin=ANSWER_MARGIN,
+            subscribe=settings.get("registryMode") == "subscribe",
+            **figures,
+        )
         self.clients = ClientServer(
-            self.core, {c["name"]: place for place, c in enumerate(settings["categories"])},
-            descriptors.clients)
+            self.core,
+            {c["name"]: place for place, c in enumerate(settings["categories"])},
+            descriptors.clients,
+        )
         self.core.list_not_taken = self.ask_again
         self.watch = DiscoveryClient(*discovery, self.instances, self.list_changed)
         self.ending = asyncio.Event()
@@ -171,18 +192,33 @@
         """What this front believes, to be held against what crossed the sockets."""
         tally, router = self.core.tally, self.core.router
         log.info(
-            "state", taken=tally.taken, finished=tally.finished, limited=tally.rate_limited,
-            aborted=tally.aborted, left=tally.left, late=tally.late, faults=tally.faults,
-            live=len(self.core.live), clients=len(self.clients.connections), out=self.clients.evicted,
-            refused=dict(self.clients.refused), ends={v.value: n for v, n in self.link.ends.items()},
-            spoilt=self.link.spoilt, unreleased=self.link.unreleased, engines=len(router.engines),
-            conns=self.link.pools.open, version=self.instances.version, lag=round(self.lag, 3),
+            "state",
+            taken=tally.taken,
+            finished=tally.finished,
+            limited=tally.rate_limited,
+            aborted=tally.aborted,
+            left=tally.left,
+            late=tally.late,
+            faults=tally.faults,
+            live=len(self.core.live),
+            clients=len(self.clients.connections),
+            out=self.clients.evicted,
+            refused=dict(self.clients.refused),
+            ends={v.value: n for v, n in self.link.ends.items()},
+            spoilt=self.link.spoilt,
+            unreleased=self.link.unreleased,
+            engines=len(router.engines),
+            conns=self.link.pools.open,
+            version=self.instances.version,
+            lag=round(self.lag, 3),
             held=self.core.told_of_held(),
             violations={rule.name: n for rule, n in self.core.gate.violations.items()},
             gate={reason.name: n for reason, n in self.core.gate.refused.items()},
             reasons={": ".join(key): n for key, n in self.core.history.reasons.most_common(REASONS_TOLD)},
-            logs_dropped=LOGS.dropped, mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
-            cpu=round(time.process_time(), 2))
+            logs_dropped=LOGS.dropped,
+            mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
+            cpu=round(time.process_time(), 2),
+        )
         self.lag = 0.0
         self.loop.call_later(TELL, self.tell)
 
@@ -220,8 +256,7 @@
 
     def idle(self) -> bool:
         """Nothing that was taken is open any more."""
-        return not (
-            self.core.live or self.clients.connections or self.link.tasks.running or self.link.again)
+        return not (self.core.live or self.clients.connections or self.link.tasks.running or self.link.again)
 
     def someone_waits(self) -> bool:
         """A connection waits to be accepted. Guards against an end that resets it: what its client has sent
@@ -246,8 +281,14 @@
         self.watch.stop()
         self.link.stop()
         tally = self.core.tally
-        log.info("ended", taken=tally.taken, finished=tally.finished, rate_limited=tally.rate_limited,
-                 aborted=tally.aborted, left=tally.left)
+        log.info(
+            "ended",
+            taken=tally.taken,
+            finished=tally.finished,
+            rate_limited=tally.rate_limited,
+            aborted=tally.aborted,
+            left=tally.left,
+        )
 
 
 def tell_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
@@ -265,8 +306,11 @@
     name, listen, discovery, path = from_environment(variables)
     node = Node(name, listen, discovery, told(path), path)
     acts: dict[signal.Signals, Callable[[], None]] = {
-        signal.SIGTERM: node.terminate, signal.SIGINT: node.terminate, signal.SIGHUP: node.reload,
-        signal.SIGUSR1: node.tell_history}
+        signal.SIGTERM: node.terminate,
+        signal.SIGINT: node.terminate,
+        signal.SIGHUP: node.reload,
+        signal.SIGUSR1: node.tell_history,
+    }
     with handled_signals(loop, acts):
         for sign in EARLY.received:
             acts[sign]()
--- a/heathford/platform/release_schedule.py
+++ b/heathford/platform/release_schedule.py
@@ -62,8 +62,12 @@
 
 
 def next_to_ask(
-    name: str, asked: Sequence[Endpoint], kept: Iterable[Address], near: Sequence[Endpoint],
-    far: Sequence[Endpoint], is_silent: Callable[[Address], bool] = lambda address: False,
+    name: str,
+    asked: Sequence[Endpoint],
+    kept: Iterable[Address],
+    near: Sequence[Endpoint],
+    far: Sequence[Endpoint],
+    is_silent: Callable[[Address], bool] = lambda address: False,
 ) -> Endpoint | None:
     """For a platform where any engine releases what another holds: one not asked yet and not silent, else
     the first that was asked, if any was. kept: addresses that we have a connection to, the one that was heard
--- a/heathford/platform/start.py
+++ b/heathford/platform/start.py
@@ -96,8 +96,12 @@
     missing = [name for name in VARIABLES if not variables.get(name)]
     if missing:
         raise StartError(f"not told by the platform: {', '.join(missing)}")
-    return (variables["NODE_NAME"], address_of(variables["NODE_LISTEN"], "NODE_LISTEN"),
-            address_of(variables["NODE_DISCOVERY"], "NODE_DISCOVERY"), Path(variables["NODE_CONFIG"]))
+    return (
+        variables["NODE_NAME"],
+        address_of(variables["NODE_LISTEN"], "NODE_LISTEN"),
+        address_of(variables["NODE_DISCOVERY"], "NODE_DISCOVERY"),
+        Path(variables["NODE_CONFIG"]),
+    )
 
 
 def seed_of(told: Mapping[str, Any]) -> int:
--- a/heathford/platform/state_release.py
+++ b/heathford/platform/state_release.py
@@ -40,9 +40,7 @@
 
     link: "PlatformLink"
 
-    def __init__(
-        self, link: "PlatformLink", endpoint: Endpoint, name: str, patience: float
-    ) -> None:
+    def __init__(self, link: "PlatformLink", endpoint: Endpoint, name: str, patience: float) -> None:
         super().__init__(link, endpoint, patience)
         self.response = Response(LONGEST_LINE, LONGEST_LINE, strict=False)
         self.status: asyncio.Future[int] = self.loop.create_future()
@@ -177,8 +175,11 @@
             if status.result() in RELEASED:
                 self.tell(lambda events, call=call: events.confirmed(call.engine))  # type: ignore[misc]
                 return True
-            self.tell(lambda events, call=call, status=status: events.unanswered(  # type: ignore[misc]
-                call.engine, max(NO_ANSWER, status.result())))
+            self.tell(
+                lambda events, call=call, status=status: events.unanswered(  # type: ignore[misc]
+                    call.engine, max(NO_ANSWER, status.result())
+                )
+            )
             now = self.link.loop.time()
             first_time = self.asked.count(call.endpoint) == 1
             if first_time and status.result() != NO_CONNECTION and now < call.until:
@@ -187,6 +188,7 @@
 
     def told_failed(self) -> None:
         """No engine has confirmed it."""
-        log.warning("state not let go", completion=self.name,
-                    tried=[f"{e.address}:{e.port}" for e in self.asked])
+        log.warning(
+            "state not let go", completion=self.name, tried=[f"{e.address}:{e.port}" for e in self.asked]
+        )
         self.tell(lambda events: events.failed())
--- a/heathford/policy/engine_state.py
+++ b/heathford/policy/engine_state.py
@@ -18,8 +18,13 @@
 ASIDE = 0.5  # s set aside after the first failure: shorter than the shortest latency target seen as usual
 LIMITED = 4.0  # s of rest for an origin that an engine limits: a limit does not drain as a queue does
 ERRORS = 2.0  # failures in a row before an engine is set aside: one alone is chance
-FAILURES = {Verdict.ERROR: 1.0, Verdict.TIMED_OUT: 1.0, Verdict.BROKEN: 1.0, Verdict.UNREACHABLE: ERRORS,
-            Verdict.UNARRIVED: ERRORS}
+FAILURES = {
+    Verdict.ERROR: 1.0,
+    Verdict.TIMED_OUT: 1.0,
+    Verdict.BROKEN: 1.0,
+    Verdict.UNREACHABLE: ERRORS,
+    Verdict.UNARRIVED: ERRORS,
+}
 TRICKLE_DONE = 16  # dispatches at once from which a trickle is over
 KEPT_MOST = 4096  # texts remembered per engine and sessions per instance: bounds memory
 RESTED = 0.05  # s of a rest, as halved by good answers, up to which an engine counts as well again
--- a/heathford/policy/estimators.py
+++ b/heathford/policy/estimators.py
@@ -67,7 +67,8 @@
     def lead(cut: int) -> float:
         part = cut / CANDIDATES
         return read_fit.aged(read_features(part * at_reader), now) - mixed_fit.aged(
-            mixed_features((1 - part) * at_mixed, contexts), now)
+            mixed_features((1 - part) * at_mixed, contexts), now
+        )
 
     cut = bisect(range(1, CANDIDATES), 0.0, key=lead) + 1  # one time grows with the cut, the other falls
     return cut - (abs(lead(cut - 1)) <= abs(lead(cut))) >= HALF * CANDIDATES  # the nearer of the two
--- a/heathford/policy/placement.py
+++ b/heathford/policy/placement.py
@@ -20,7 +20,7 @@
 @lru_cache(maxsize=4096)
 def points_of(number: int) -> list[int]:  # of an engine on the ring, the same at all instances
     drawn = blake2b(str(number).encode(), digest_size=2 * POINTS).digest()
-    return [int.from_bytes(drawn[i:i + 2]) for i in range(0, 2 * POINTS, 2)]
+    return [int.from_bytes(drawn[i : i + 2]) for i in range(0, 2 * POINTS, 2)]
 
 
 class Ring:
@@ -33,4 +33,4 @@
     def draw(self, key: str, usable: Test) -> Engine | None:
         """The first usable engine from the key's place on."""
         start = bisect(self.points, hashed(key))
-        return next((e for e in dict.fromkeys(self.engines[start:start + WALK]) if usable(e)), None)
+        return next((e for e in dict.fromkeys(self.engines[start : start + WALK]) if usable(e)), None)
--- a/heathford/policy/request_state.py
+++ b/heathford/policy/request_state.py
@@ -6,8 +6,19 @@
 from typing import Protocol
 
 from heathford.interface import (
-    ANSWERED, HELD_UP, NEVER_RAN, PART_ARRIVED, Clock, CompletionDoor, Effect, GivenUp, Group, Role, Verdict,
-    Workload)
+    ANSWERED,
+    HELD_UP,
+    NEVER_RAN,
+    PART_ARRIVED,
+    Clock,
+    CompletionDoor,
+    Effect,
+    GivenUp,
+    Group,
+    Role,
+    Verdict,
+    Workload,
+)
 from heathford.policy.engine_state import FAILURES, LIMITED, PACE_FADE, REST, Dispatch, Engine
 from heathford.policy.estimators import Fit, mixed_features, read_features
 from heathford.policy.held_state import HandedOver
@@ -42,8 +53,18 @@
     """The handle of one completion: heathford.interface.Handle."""
 
     def __init__(
-        self, router: Policy, door: CompletionDoor, workload: Workload, session: str, shared: str,
-        prompt: int, shared_tokens: int, answer: float, due: float, origin: object, now: float,
+        self,
+        router: Policy,
+        door: CompletionDoor,
+        workload: Workload,
+        session: str,
+        shared: str,
+        prompt: int,
+        shared_tokens: int,
+        answer: float,
+        due: float,
+        origin: object,
+        now: float,
         size: int = 0,
     ) -> None:
         self.router, self.door, self.workload = router, door, workload
@@ -124,8 +145,11 @@
         elif verdict in (Verdict.FULL, Verdict.CROWDED):
             limited = latency > AT_ONCE * self.target  # what is short of room says so at once, and to all
             engine.rest(self.origin if limited else None, dispatch.sent, now, LIMITED if limited else REST)
-        elif verdict in FAILURES and not dispatch.streaming and (
-                verdict is not Verdict.TIMED_OUT or (self.counts and engine.answered < dispatch.sent)):
+        elif (
+            verdict in FAILURES
+            and not dispatch.streaming
+            and (verdict is not Verdict.TIMED_OUT or (self.counts and engine.answered < dispatch.sent))
+        ):
             # A time-out of one with less time than its target, or where others were answered, is no failure.
             engine.went_badly(FAILURES[verdict], dispatch.sent, now)
             if verdict is Verdict.TIMED_OUT:  # as slow as that at least: its queue needs as long
@@ -197,8 +221,10 @@
             return False
         group = self.workload.group
         return now + HELD_UP - risky[0].sent < self.workload.memory_time and all(
-            group is Group.ALL or (d.engine.zone == engine.zone and (
-                group is Group.ZONE or d.engine.cell == engine.cell)) for d in risky)
+            group is Group.ALL
+            or (d.engine.zone == engine.zone and (group is Group.ZONE or d.engine.cell == engine.cell))
+            for d in risky
+        )
 
     def give_up(self, why: GivenUp) -> None:
         if not self.dispatches and self.late_at > -inf:  # a guess of ours says nothing of what engines can do
--- a/heathford/policy/router.py
+++ b/heathford/policy/router.py
@@ -6,8 +6,7 @@
 from math import exp2, inf
 from statistics import median
 
-from heathford.interface import (
-    Clock, CompletionDoor, GivenUp, Health, InstanceDoor, Kind, Role, Workload)
+from heathford.interface import Clock, CompletionDoor, GivenUp, Health, InstanceDoor, Kind, Role, Workload
 from heathford.policy.engine_state import REPORT_LIFE, REST_MOST, Dispatch, Engine, remember
 from heathford.policy.estimators import STALE, Fit, reader_is_better
 from heathford.policy.held_state import HandedOver, release_due
@@ -35,11 +34,28 @@
     """One instance's policy: heathford.interface says what it is told and what it asks for."""
 
     def __init__(
-        self, clock: Clock, door: InstanceDoor, seed: int, kinds: Sequence[Kind],
-        workloads: Sequence[Workload], number: int, fronts: int, zone: int, try_limit: int, pin_limit: float,
-        may_cancel: bool, may_delay_retries: bool, longest_retry: float, warm_after: float, cold_from: float,
-        cold_multiple: float, cold_window: float, read_in_place: bool, subscribe: bool,
-        keyed_repeats: bool = True, transfers: TransferRates | None = None,
+        self,
+        clock: Clock,
+        door: InstanceDoor,
+        seed: int,
+        kinds: Sequence[Kind],
+        workloads: Sequence[Workload],
+        number: int,
+        fronts: int,
+        zone: int,
+        try_limit: int,
+        pin_limit: float,
+        may_cancel: bool,
+        may_delay_retries: bool,
+        longest_retry: float,
+        warm_after: float,
+        cold_from: float,
+        cold_multiple: float,
+        cold_window: float,
+        read_in_place: bool,
+        subscribe: bool,
+        keyed_repeats: bool = True,
+        transfers: TransferRates | None = None,
     ) -> None:
         self.clock, self.door, self.random = clock, door, random.Random(seed)
         self.kinds, self.workloads = kinds, workloads
@@ -96,8 +112,10 @@
         if self.read_in_place and not self.pools[Role.MIXED]:
             self.pools[Role.MIXED] = self.pools[Role.WRITER]  # they read as mixed servers do, where none is
         self.told = self.told or bool(self.engines)
-        self.rings = {role: (Ring([e for e in pool if e.zone == self.zone]), Ring(pool))
-                      for role, pool in self.pools.items()}
+        self.rings = {
+            role: (Ring([e for e in pool if e.zone == self.zone]), Ring(pool))
+            for role, pool in self.pools.items()
+        }
         self.slow_start.list_changed(self.pools, self.rings)
 
     def list_failed(self) -> None:
@@ -105,14 +123,36 @@
         self.door.wake(self.ask_at - self.clock.now + TICK)
 
     def take(
-        self, door: CompletionDoor, workload: int, member: int, session: str, shared: str, prompt: int,
-        shared_tokens: int, longest: int, answer_hint: float, due: float, size: int = 0,
+        self,
+        door: CompletionDoor,
+        workload: int,
+        member: int,
+        session: str,
+        shared: str,
+        prompt: int,
+        shared_tokens: int,
+        longest: int,
+        answer_hint: float,
+        due: float,
+        size: int = 0,
     ) -> Completion:
         now, kind = self.clock.now, self.workloads[workload]
         hinted = answer_hint and kind.token_target
         answer = min(longest, answer_hint / kind.token_target if hinted else longest / 2)
-        completion = Completion(self, door, kind, session, shared, prompt, shared_tokens, answer, due,
-                                (workload, member), now, size)
+        completion = Completion(
+            self,
+            door,
+            kind,
+            session,
+            shared,
+            prompt,
+            shared_tokens,
+            answer,
+            due,
+            (workload, member),
+            now,
+            size,
+        )
         kept, self.counted_at = exp2((self.counted_at - now) / STALE), now
         self.asked, self.good = self.asked * kept + completion.counts, self.good * kept
         self.read, self.heard = self.read * kept, self.heard * kept
@@ -179,9 +219,12 @@
 
         def takes(engine: Engine, by: float) -> bool:
             return completion.may_go_to(engine, now) and (
-                not timely or self.reachable(completion, engine, by))
+                not timely or self.reachable(completion, engine, by)
+            )
+
         readers = tries > 1 and any(
-            not timely or self.reachable(completion, e, completion.due) for e in self.pools[Role.READER])
+            not timely or self.reachable(completion, e, completion.due) for e in self.pools[Role.READER]
+        )
         if (completion.state or readers) and any(takes(e, self.state_due(completion)) for e in self.writers):
             return True
         return any(takes(e, completion.due) for e in self.pools[Role.MIXED])
@@ -194,7 +237,8 @@
         """Whether its bytes can be at an engine by then, as far as is known."""
         now, size = self.clock.now, completion.size
         return not self.transfers.matters(size, now) or self.transfers.in_time(
-            engine.number, size, now, by, completion.slow_engines(engine.kind.role))
+            engine.number, size, now, by, completion.slow_engines(engine.kind.role)
+        )
 
     def placed(self, completion: Completion) -> bool:
         now, tries = self.clock.now, self.try_limit - len(completion.dispatches)
@@ -218,8 +262,7 @@
     def reader_reads(self, completion: Completion, reader: Engine, mixed: Engine) -> bool:
         at_reader, at_mixed = (completion.prompt - e.kept(completion) for e in (reader, mixed))
         now = self.clock.now
-        return reader_is_better(
-            self.read_fit, self.mixed_fit, at_reader, at_mixed, mixed.contexts(now), now)
+        return reader_is_better(self.read_fit, self.mixed_fit, at_reader, at_mixed, mixed.contexts(now), now)
 
     def pick_reader(self, completion: Completion) -> Engine | None:
         """Guards against states piling up before full writers, the strain of the memory fallback: no read
@@ -228,8 +271,13 @@
         if sum(len(e.out) for e in self.pools[Role.READER]) >= PER_ROOM * roomy:
             return None
         now = self.clock.now
-        return self.hashed_pair(completion, Role.READER, lambda e: len(e.out) < GATE and not e.closed(
-            completion.origin, now, self.tightest) and self.reachable(completion, e, completion.due))
+        return self.hashed_pair(
+            completion,
+            Role.READER,
+            lambda e: len(e.out) < GATE
+            and not e.closed(completion.origin, now, self.tightest)
+            and self.reachable(completion, e, completion.due),
+        )
 
     def pick_mixed(self, completion: Completion) -> Engine | None:
         now, last = self.clock.now, self.last_mixed.get(completion.session)
@@ -237,8 +285,14 @@
 
         def is_open(engine: Engine) -> bool:
             return completion.may_go_to(engine, now) and self.reachable(completion, engine, completion.due)
-        if last and last in pool and self.usable(last, completion) and is_open(last) and (
-                last.tokens <= MEDIANS * median(e.tokens for e in pool)):
+
+        if (
+            last
+            and last in pool
+            and self.usable(last, completion)
+            and is_open(last)
+            and (last.tokens <= MEDIANS * median(e.tokens for e in pool))
+        ):
             return last
         return self.hashed_pair(completion, Role.MIXED, is_open)
 
@@ -258,17 +312,28 @@
 
     def has_room(self, engine: Engine, completion: Completion) -> bool:
         now, load = self.clock.now, engine.load if self.clock.now - engine.load_at < REPORT_LIFE else {}
-        if engine.closed(completion.origin, now, self.tightest) or engine.crawls(now) or (
-                load.get("queue", 0.0) >= 1.0 or load.get("slots", 0.0) >= SLOTS_USED):
+        if (
+            engine.closed(completion.origin, now, self.tightest)
+            or engine.crawls(now)
+            or (load.get("queue", 0.0) >= 1.0 or load.get("slots", 0.0) >= SLOTS_USED)
+        ):
             return False
         since = sum(d.tokens for d in engine.out if d.sent > engine.load_at or "memory" not in load)
-        return not engine.kind.memory or since * self.fronts + completion.prompt + completion.answer < (
-            MEMORY_USED - load.get("memory", 0.0)) * engine.kind.memory  # none told: as much as is wanted
+        return (
+            not engine.kind.memory
+            or since * self.fronts + completion.prompt + completion.answer
+            < (MEMORY_USED - load.get("memory", 0.0)) * engine.kind.memory
+        )  # none told: as much as is wanted
 
     def write(self, completion: Completion, reader: Engine, now: float) -> bool:  # two near the reader
         taken_by = self.state_due(completion)
-        able = [e for e in self.writers if self.usable(e, completion) and completion.may_go_to(e, now)
-                and self.reachable(completion, e, taken_by)]
+        able = [
+            e
+            for e in self.writers
+            if self.usable(e, completion)
+            and completion.may_go_to(e, now)
+            and self.reachable(completion, e, taken_by)
+        ]
         near = [e for e in able if e.zone == reader.zone]
         # Guards against a cell's full writers, which each of many fronts finds slow only now and then.
         well = [e for e in near if now >= e.rests.get(None, (-inf, 0.0))[0] + REST_MOST]
@@ -287,8 +352,11 @@
 
     def usable(self, engine: Engine, completion: Completion) -> bool:
         slow_start, free = self.slow_start, not engine.trickle or len(engine.unanswered) < engine.trickle
-        return free and engine.health is Health.ON and (
-            not slow_start.cold(engine) or slow_start.takes(engine, completion.session, self.unheard))
+        return (
+            free
+            and engine.health is Health.ON
+            and (not slow_start.cold(engine) or slow_start.takes(engine, completion.session, self.unheard))
+        )
 
     def send(self, completion: Completion, engine: Engine, reading: bool) -> None:
         now = self.clock.now
--- a/heathford/script/script.py
+++ b/heathford/script/script.py
@@ -55,14 +55,22 @@
     except (SyntaxError, ValueError):
         return source
     lines = source.splitlines(keepends=True)
-    calls = [n for n in ast.walk(tree) if isinstance(n, ast.Call) and isinstance(n.func, ast.Name)
-             and n.func.id in words and not any(k.arg is None for k in n.keywords)]
+    calls = [
+        n
+        for n in ast.walk(tree)
+        if isinstance(n, ast.Call)
+        and isinstance(n.func, ast.Name)
+        and n.func.id in words
+        and not any(k.arg is None for k in n.keywords)
+    ]
     for call in sorted(calls, key=lambda n: (-n.lineno, -n.col_offset)):
         if not call.keywords and not call.args:
             continue
         places = " ".join([f"={call.lineno}", *(f"{k.arg}={k.value.lineno}" for k in call.keywords)])
-        last = max((*call.args, *(k.value for k in call.keywords)),
-                   key=lambda n: (n.end_lineno or 0, n.end_col_offset or 0))
+        last = max(
+            (*call.args, *(k.value for k in call.keywords)),
+            key=lambda n: (n.end_lineno or 0, n.end_col_offset or 0),
+        )
         row = (last.end_lineno or 1) - 1
         at = last.end_col_offset or 0
         line = lines[row].encode()
@@ -86,11 +94,10 @@
                 name, _, line = place.rpartition("=")
                 lines[name] = int(line)
             self.take(word, args, given, lines)
+
         return call
 
-    def take(
-        self, word: str, args: tuple[Any, ...], given: dict[str, Any], lines: dict[str, int]
-    ) -> None:
+    def take(self, word: str, args: tuple[Any, ...], given: dict[str, Any], lines: dict[str, int]) -> None:
         fields, line = self.words[word].fields, lines.get("", 0)
 
         def wrong(what: str, name: str = "") -> None:
@@ -126,19 +133,31 @@
         for word, rule in self.words.items():
             calls = self.declared.get(word, [])
             if len(calls) < rule.least:
-                self.mistakes.append(Mistake(
-                    self.file, 1,
-                    f"{word}: must be called {rule.least} time(s) at least, and is {len(calls)}"))
+                self.mistakes.append(
+                    Mistake(
+                        self.file,
+                        1,
+                        f"{word}: must be called {rule.least} time(s) at least, and is {len(calls)}",
+                    )
+                )
             if len(calls) > rule.most:
-                self.mistakes.append(Mistake(
-                    self.file, calls[rule.most].line,
-                    f"{word}: may be called {rule.most} time(s) at most, and is {len(calls)}"))
+                self.mistakes.append(
+                    Mistake(
+                        self.file,
+                        calls[rule.most].line,
+                        f"{word}: may be called {rule.most} time(s) at most, and is {len(calls)}",
+                    )
+                )
             seen: dict[Any, int] = {}
             for call in calls:
                 if rule.named and call.name in seen:
-                    self.mistakes.append(Mistake(
-                        self.file, call.line,
-                        f"{word}: {call.name!r} stands already at line {seen[call.name]}"))
+                    self.mistakes.append(
+                        Mistake(
+                            self.file,
+                            call.line,
+                            f"{word}: {call.name!r} stands already at line {seen[call.name]}",
+                        )
+                    )
                 if rule.named:
                     seen.setdefault(call.name, call.line)
                 for name, wanted in rule.fields.items():
@@ -149,9 +168,13 @@
         if wanted.names and isinstance(value, str) and value not in known.get(wanted.names, set()):
             names = ", ".join(sorted(repr(n) for n in known.get(wanted.names, set()))) or "none"
             line = call.values[LINES].get(name, call.line)
-            self.mistakes.append(Mistake(
-                self.file, line, f"{call.word}: {name} is {value!r}, no {wanted.names} declared; "
-                                 f"declared are {names}"))
+            self.mistakes.append(
+                Mistake(
+                    self.file,
+                    line,
+                    f"{call.word}: {name} is {value!r}, no {wanted.names} declared; declared are {names}",
+                )
+            )
 
 
 class Script:
@@ -180,7 +203,9 @@
 
 
 def read_script(
-    path: Path, words: Mapping[str, Word] = WORDS, more: Mapping[str, Callable[..., Any]] | None = None,
+    path: Path,
+    words: Mapping[str, Word] = WORDS,
+    more: Mapping[str, Callable[..., Any]] | None = None,
 ) -> Script:
     """Raises ScriptError with all mistakes found; OSError where the file can't be read."""
     source, file = path.read_text(), str(path)
--- a/heathford/sessions/offers.py
+++ b/heathford/sessions/offers.py
@@ -59,15 +59,23 @@
         timeout = params.get("timeout")
         if timeout is None:
             timeout = offer.client_timeout + offer.timeout_per_1000 * tokens / 1000
-        elif isinstance(timeout, bool) or not isinstance(timeout, int | float) or not (
-                0.0 < timeout <= MOST_TIMEOUT):
+        elif (
+            isinstance(timeout, bool)
+            or not isinstance(timeout, int | float)
+            or not (0.0 < timeout <= MOST_TIMEOUT)
+        ):
             raise ParamsError(f"timeout: {timeout!r}; allowed is a number of seconds up to {MOST_TIMEOUT:g}")
         return {
-            "workload": offer.place, "member": self.members.get(user, 0),
-            "shared": text(params, "prompt_cache_key"), "prompt": tokens, "shared_tokens": shared_tokens,
-            "longest": longest, "timeout": float(timeout),
+            "workload": offer.place,
+            "member": self.members.get(user, 0),
+            "shared": text(params, "prompt_cache_key"),
+            "prompt": tokens,
+            "shared_tokens": shared_tokens,
+            "longest": longest,
+            "timeout": float(timeout),
             "body": {"model": model, "prompt": prompt, "max_tokens": longest},
-            "mark": text(params, "idempotency_key")}
+            "mark": text(params, "idempotency_key"),
+        }
 
     def attempt(self, params: Mapping[str, Any]) -> int:
         """Which try its client says that it is, from 1; raises ParamsError."""
--- a/heathford/sessions/protocol.py
+++ b/heathford/sessions/protocol.py
@@ -15,8 +15,14 @@
 PROTOCOL, DATA, TOO_BIG = 1002, 1007, 1009  # close codes
 READ_BYTES = 65_536  # bytes thrown away at once after a failure
 COMPRESS_FROM = 512  # bytes: below, deflate costs more time than it saves on the way
-DEFLATE = frozenset({"server_no_context_takeover", "client_no_context_takeover", "server_max_window_bits",
-                     "client_max_window_bits"})
+DEFLATE = frozenset(
+    {
+        "server_no_context_takeover",
+        "client_no_context_takeover",
+        "server_max_window_bits",
+        "client_max_window_bits",
+    }
+)
 MOST_CONTROL = 125  # bytes
 
 
@@ -44,10 +50,17 @@
         taken = []
         for name, offered in super()._parse_extensions_header(headers):
             bits: Any = offered.get("server_max_window_bits", "15")
-            if name == "permessage-deflate" and set(offered) <= DEFLATE and str(bits).isdigit() and (
-                    9 <= int(bits) <= 15) and self.client_bits_good(offered):
+            if (
+                name == "permessage-deflate"
+                and set(offered) <= DEFLATE
+                and str(bits).isdigit()
+                and (9 <= int(bits) <= 15)
+                and self.client_bits_good(offered)
+            ):
                 agreed: dict[str, Any] = {
-                    "server_no_context_takeover": None, "client_no_context_takeover": None}
+                    "server_no_context_takeover": None,
+                    "client_no_context_takeover": None,
+                }
                 if "server_max_window_bits" in offered:
                     agreed["server_max_window_bits"] = bits
                 taken.append((name, agreed))
--- a/heathford/sessions/rpc.py
+++ b/heathford/sessions/rpc.py
@@ -47,8 +47,9 @@
         if isinstance(call, list):
             self.error(None, REQUEST, "batches are not taken: send each request as a message of its own")
             return
-        if not (isinstance(call, dict) and call.get("jsonrpc") == "2.0"
-                and isinstance(call.get("method"), str)):
+        if not (
+            isinstance(call, dict) and call.get("jsonrpc") == "2.0" and isinstance(call.get("method"), str)
+        ):
             self.error(None, REQUEST, "no JSON-RPC 2.0 request")
             return
         key, params = call.get("id"), call.get("params", {})
@@ -84,8 +85,13 @@
 
     def going(self, after: float) -> None:
         """The front stops, and will close this session in `after` seconds."""
-        self.say({"jsonrpc": "2.0", "method": "session.going", "params": {
-            "closes_in": after, "retry_after": self.desk.retry_after}})
+        self.say(
+            {
+                "jsonrpc": "2.0",
+                "method": "session.going",
+                "params": {"closes_in": after, "retry_after": self.desk.retry_after},
+            }
+        )
 
     def say(self, message: Mapping[str, Any]) -> None:
         self.outlet.say(orjson.dumps(message))
@@ -106,16 +112,33 @@
         self.outlet.freed()
 
     def chunk(self, key: Any, completion: str, text: str) -> None:
-        self.say({
-            "jsonrpc": "2.0", "method": "completions.chunk", "params": {
-                "id": key, "completion": completion, "object": "text_completion",
-                "choices": [{"index": 0, "text": text, "finish_reason": None}]}})
+        self.say(
+            {
+                "jsonrpc": "2.0",
+                "method": "completions.chunk",
+                "params": {
+                    "id": key,
+                    "completion": completion,
+                    "object": "text_completion",
+                    "choices": [{"index": 0, "text": text, "finish_reason": None}],
+                },
+            }
+        )
 
     def finished(self, key: Any, completion: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
-        self.say({
-            "jsonrpc": "2.0", "id": key, "result": {
-                "id": completion, "object": "text_completion", "final": "finished", "usage": usage,
-                "choices": [{"index": 0, "text": text, "finish_reason": reason}]}})
+        self.say(
+            {
+                "jsonrpc": "2.0",
+                "id": key,
+                "result": {
+                    "id": completion,
+                    "object": "text_completion",
+                    "final": "finished",
+                    "usage": usage,
+                    "choices": [{"index": 0, "text": text, "finish_reason": reason}],
+                },
+            }
+        )
 
     def rate_limited(self, key: Any, completion: str, retry_after: float) -> None:
         data: dict[str, Any] = {"completion": completion} if completion else {}
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -61,8 +61,15 @@
     that wait there for one of these to end. later: calls at a time of the clock `now`."""
 
     def __init__(
-        self, core: Core, offers: Offers, room: Room, shares: "Shares[Answer]", identities: Identities,
-        now: Callable[[], float], later: Callable[[float, Callable[[], None]], Cancellable], most_out: int,
+        self,
+        core: Core,
+        offers: Offers,
+        room: Room,
+        shares: "Shares[Answer]",
+        identities: Identities,
+        now: Callable[[], float],
+        later: Callable[[float, Callable[[], None]], Cancellable],
+        most_out: int,
         most_waiting: int,
     ) -> None:
         self.core, self.offers, self.room, self.shares = core, offers, room, shares
@@ -218,9 +225,7 @@
 class Answer:
     """One completion as one client hears it. Tokens go out as they come; to a slow client, merged."""
 
-    def __init__(
-        self, session: Session, key: Any, asked: dict[str, Any], received: float, size: int
-    ) -> None:
+    def __init__(self, session: Session, key: Any, asked: dict[str, Any], received: float, size: int) -> None:
         self.session, self.key, self.asked, self.received, self.size = session, key, asked, received, size
         self.due: float = received + asked["timeout"] - session.desk.core.answer_margin
         self.digest = b""
@@ -285,6 +290,7 @@
                 desk.identities.end(member, mark, desk.now())
                 if mark and desk.memory:
                     desk.memory.ended(member, mark, self.digest, effect, shared)
+
         shared = self.shared = Shared(ended)
         shared.join(self)
         if mark:
@@ -303,7 +309,8 @@
             shared.rate_limited(session.desk.retry_after)
             return
         taken = shared.taken = session.desk.core.take(
-            shared, session=session.name, received=self.received, **self.asked)
+            shared, session=session.name, received=self.received, **self.asked
+        )
         shared.name = taken.name
 
     def turned_away(self) -> None:
@@ -377,7 +384,8 @@
         self.shared.leave(self)
         self.close()
         self.session.voice.aborted(
-            self.key, self.name, "still out: come again with the same key", still_out())
+            self.key, self.name, "still out: come again with the same key", still_out()
+        )
 
     def leave(self, cancelled: bool) -> None:
         """The client wants it no more, or is gone."""
--- a/heathford/sessions/socket.py
+++ b/heathford/sessions/socket.py
@@ -38,16 +38,27 @@
 
     def prepare(self) -> None:
         """Refuses versions that are not served before the handshake, where it can still say which are."""
-        offered = [name.strip() for value in self.request.headers.get_list("Sec-WebSocket-Protocol")
-                   for name in value.split(",")]
+        offered = [
+            name.strip()
+            for value in self.request.headers.get_list("Sec-WebSocket-Protocol")
+            for name in value.split(",")
+        ]
         try:
             self.version = of_subprotocols(offered)
         except VersionError as problem:
             self.set_status(400)
             self.set_header("Content-Type", "application/problem+json")
-            self.finish(orjson.dumps({
-                "type": "about:blank", "title": "Bad Request", "status": 400, "detail": str(problem),
-                "served": problem.served}))
+            self.finish(
+                orjson.dumps(
+                    {
+                        "type": "about:blank",
+                        "title": "Bad Request",
+                        "status": 400,
+                        "detail": str(problem),
+                        "served": problem.served,
+                    }
+                )
+            )
 
     def select_subprotocol(self, subprotocols: list[str]) -> str | None:
         name = f"{PREFIX}{self.version}"
@@ -132,8 +143,14 @@
     window: s over which a stopping front closes its sessions."""
 
     def __init__(
-        self, desk: Desk, now: Callable[[], float], patience: Patience, unsent: int, window: float,
-        compress: bool, seed: int,
+        self,
+        desk: Desk,
+        now: Callable[[], float],
+        patience: Patience,
+        unsent: int,
+        window: float,
+        compress: bool,
+        seed: int,
     ) -> None:
         self.desk, self.now, self.patience = desk, now, patience
         self.unsent, self.window, self.compress, self.seed = unsent, window, compress, seed
@@ -146,8 +163,10 @@
 
     def params(self, socket: SessionSocket) -> Any:
         from tornado.websocket import _WebSocketParams
+
         return _WebSocketParams(
-            max_message_size=socket.max_message_size, compression_options=socket.get_compression_options())
+            max_message_size=socket.max_message_size, compression_options=socket.get_compression_options()
+        )
 
     def begin(self, socket: SessionSocket) -> Rpc:
         self.desk.room.sessions += 1
@@ -166,8 +185,10 @@
 
     def application(self, longest_message: int) -> Application:
         return Application(
-            [(r"/v1/sessions", SessionSocket, {"sockets": self})], websocket_max_message_size=longest_message,
-            log_function=lambda handler: None)
+            [(r"/v1/sessions", SessionSocket, {"sockets": self})],
+            websocket_max_message_size=longest_message,
+            log_function=lambda handler: None,
+        )
 
     # Looking after them.
 
--- a/heathford/soak/client.py
+++ b/heathford/soak/client.py
@@ -49,7 +49,12 @@
     """One client; asks one request after the other until it is cancelled."""
 
     def __init__(
-        self, number: int, fronts: list[FrontAddress], note: Note, troubles: list[Kind], seed: int,
+        self,
+        number: int,
+        fronts: list[FrontAddress],
+        note: Note,
+        troubles: list[Kind],
+        seed: int,
         longest_deadline: float,
     ) -> None:
         self.number, self.fronts, self.note, self.troubles = number, fronts, note, troubles
@@ -169,9 +174,7 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", front.port)
         whole = request_bytes("bad", "chat", 900, 36, "s")
         writer.write(
-            self.random.choice(
-                [b"", whole[:40], whole[:-5], b"\x00\xff nonsense\r\n\r\n", 3 * whole[:200]]
-            )
+            self.random.choice([b"", whole[:40], whole[:-5], b"\x00\xff nonsense\r\n\r\n", 3 * whole[:200]])
         )
         if self.random.random() < 0.3:
             writer.transport.abort()
--- a/heathford/soak/engine.py
+++ b/heathford/soak/engine.py
@@ -35,7 +35,13 @@
     wait for it."""
 
     def __init__(
-        self, uid: str, prefill: bool, zone: str, rooms: dict[str, float], wanted: Counter[str], note: Note,
+        self,
+        uid: str,
+        prefill: bool,
+        zone: str,
+        rooms: dict[str, float],
+        wanted: Counter[str],
+        note: Note,
         seed: int,
     ) -> None:
         super().__init__()
--- a/heathford/soak/front.py
+++ b/heathford/soak/front.py
@@ -30,9 +30,7 @@
 HELD_UP = 0.15  # s for which a process may be held up, as the users state
 WITHIN_MILLISECONDS = 0.002  # s between two signals of a series
 ENDINGS = (Kind.TERMINATE, Kind.KILL, Kind.SIGNAL_SERIES, Kind.STOP_AMID_END)
-INTERPRETER_STARTS = (
-    5.0  # s: a signal before the program's first line ends the process; the pages exclude it
-)
+INTERPRETER_STARTS = 5.0  # s: a signal before the program's first line ends the process; the pages exclude it
 RELOADED_AFTER = 1.0  # s from a start, and ready: the pages send no SIGHUP before
 RELOAD_LOOK = 0.02  # s between two looks at that
 WRONG = ("error", "critical")
--- a/heathford/soak/oracle.py
+++ b/heathford/soak/oracle.py
@@ -32,11 +32,23 @@
 SEEN_ENDING = 0.1  # s between a process's end and what its clients and the soak see of it
 LONGEST_END = 4.0  # s from SIGTERM to the kill at most, and a little
 BREAK_STREAMS = (  # troubles that end a stream: its connections break, or its engine says nothing
-    Kind.LINK_RESET, Kind.LINK_CUT, Kind.LINK_REFUSED, Kind.LINK_SILENT, Kind.LINK_UNREAD, Kind.LINK_BREAKS,
-    Kind.ENGINE_STOPPED)
+    Kind.LINK_RESET,
+    Kind.LINK_CUT,
+    Kind.LINK_REFUSED,
+    Kind.LINK_SILENT,
+    Kind.LINK_UNREAD,
+    Kind.LINK_BREAKS,
+    Kind.ENGINE_STOPPED,
+)
 HIDE_DISCOVERY = (  # troubles by which a change of the list is told later: the pages count 6 s then
-    Kind.DISCOVERY_SILENT, Kind.DISCOVERY_SLOW, Kind.DISCOVERY_RESET, Kind.RELOAD, Kind.SIGNAL_SERIES,
-    Kind.LINK_BREAKS, Kind.CONNECT_FAILS)
+    Kind.DISCOVERY_SILENT,
+    Kind.DISCOVERY_SLOW,
+    Kind.DISCOVERY_RESET,
+    Kind.RELOAD,
+    Kind.SIGNAL_SERIES,
+    Kind.LINK_BREAKS,
+    Kind.CONNECT_FAILS,
+)
 DESCRIPTORS_GROW = 120
 DESCRIPTORS_MOST = 400  # as the soak's configuration limits them
 MEMORY_GROWS = 40_000  # kB
@@ -74,9 +86,7 @@
         self.crossed = 0  # requests whose kept connection ended under them: sent once more by clients
         self.stories = stories_of(self.records)
         self.troubles = [record for record in self.records if record.kind is Seen.TROUBLE]
-        self.prefills = {
-            r.engine for r in self.records if r.kind is Seen.DELIVERED and r.text == "prefill"
-        }
+        self.prefills = {r.engine for r in self.records if r.kind is Seen.DELIVERED and r.text == "prefill"}
         self.endings = [record for record in self.records if record.kind is Seen.ENDING]
         self.exits = [record for record in self.records if record.kind is Seen.EXIT]
         self.lags = [record for record in self.records if record.kind is Seen.LAG]
@@ -84,9 +94,7 @@
 
     # What excuses.
 
-    def within(
-        self, since: float, until: float, *names: str, kinds: Sequence[Kind] = tuple(Kind)
-    ) -> bool:
+    def within(self, since: float, until: float, *names: str, kinds: Sequence[Kind] = tuple(Kind)) -> bool:
         """A trouble of such a kind at one of these was felt in that time; without names, at anything."""
         known = {kind.name for kind in kinds}
         return any(
@@ -278,12 +286,8 @@
                 more = attempt.told - (story.asked + story.budget - attempt.last)
                 more -= self.step(attempt.engine, attempt.last)
                 # An unread link's bytes are noted when they are read, long after they were written.
-                unread = self.within(
-                    attempt.last, attempt.last, attempt.engine, kinds=(Kind.LINK_UNREAD,)
-                )
-                if not unread and more > TOLD_SLACK + self.allowance(
-                    story.front, story.asked, attempt.last
-                ):
+                unread = self.within(attempt.last, attempt.last, attempt.engine, kinds=(Kind.LINK_UNREAD,))
+                if not unread and more > TOLD_SLACK + self.allowance(story.front, story.asked, attempt.last):
                     self.breach("deadline told", attempt.last, name, f"{more:.3f} s more than is left")
 
     def held(self, name: str, story: Story) -> None:
@@ -344,8 +348,7 @@
     def check_held(self, name: str, story: Story, since: float, until: float) -> None:
         limit = self.limits.pin + HELD_SLACK + self.allowance(story.front, since, until)
         excused = self.killed(story.front, story.asked, since + limit) or any(
-            ended.front == story.front and story.asked <= ended.time <= since + limit
-            for ended in self.exits
+            ended.front == story.front and story.asked <= ended.time <= since + limit for ended in self.exits
         )
         if until - since > limit and since + limit < self.end and not excused:
             self.breach("5 held", since + limit, name, f"held for {until - since:.3f} s")
@@ -422,9 +425,7 @@
             elif record.kind is Seen.WAITED:
                 over = record.value - OWED_WITHIN
                 if over > self.allowance(record.front, record.time - record.value, record.time):
-                    self.breach(
-                        "bad client", record.time, record.front, f"waited for {record.value:.3f} s"
-                    )
+                    self.breach("bad client", record.time, record.front, f"waited for {record.value:.3f} s")
             elif (
                 record.kind is Seen.LOG
                 and any(word in record.text for word in JUDGED_BY_RECORDS)
--- a/heathford/soak/plan.py
+++ b/heathford/soak/plan.py
@@ -83,8 +83,12 @@
     def printed(self) -> str:
         """As JSON, read back by `read`."""
         rows = [{**asdict(trouble), "kind": trouble.kind.name} for trouble in self.troubles]
-        said = {"seed": self.seed, "seconds": self.seconds, "longest_deadline": self.longest_deadline,
-                "window": self.window}
+        said = {
+            "seed": self.seed,
+            "seconds": self.seconds,
+            "longest_deadline": self.longest_deadline,
+            "window": self.window,
+        }
         return json.dumps({**said, "troubles": rows}, indent=1)
 
     @property
@@ -105,8 +109,7 @@
         said["seed"],
         said["seconds"],
         tuple(
-            Trouble(Kind[row["kind"]], row["target"], row["at"], row["seconds"])
-            for row in said["troubles"]
+            Trouble(Kind[row["kind"]], row["target"], row["at"], row["seconds"]) for row in said["troubles"]
         ),
         said.get("longest_deadline", 3.0),
         said.get("window", 1.5),
@@ -139,8 +142,9 @@
             steps += [trouble.at, trouble.at + trouble.seconds]
         at += random.uniform(0.7, 1.6)
     in_time = [trouble for trouble in troubles if trouble.at < seconds]
-    return Plan(seed, seconds, tuple(sorted(in_time, key=lambda trouble: trouble.at)), longest_deadline,
-                window)
+    return Plan(
+        seed, seconds, tuple(sorted(in_time, key=lambda trouble: trouble.at)), longest_deadline, window
+    )
 
 
 def repeated(trouble: Trouble) -> list[Trouble]:
@@ -153,10 +157,14 @@
 def stops_beside(trouble: Trouble, random: Random) -> list[Trouble]:
     """Front nodes that are held up while a link reads on."""
     return [
-        Trouble(Kind.STOP_SHORT, random.randrange(1_000),
-                round(trouble.at + random.uniform(0.0, trouble.seconds), 3),
-                round(random.uniform(*STOP_SECONDS), 3))
-        for _ in range(STOPS_IN_STEPS)]
+        Trouble(
+            Kind.STOP_SHORT,
+            random.randrange(1_000),
+            round(trouble.at + random.uniform(0.0, trouble.seconds), 3),
+            round(random.uniform(*STOP_SECONDS), 3),
+        )
+        for _ in range(STOPS_IN_STEPS)
+    ]
 
 
 def shrink(plan: Plan, fails: Callable[[Plan], bool], tries: int) -> Plan:
--- a/heathford/soak/relay.py
+++ b/heathford/soak/relay.py
@@ -117,9 +117,7 @@
             if Kind.LINK_STEPS in self.troubles:
                 self.read_in_steps(writer)
             if Kind.LINK_UNREAD in self.troubles:
-                writer.get_extra_info("socket").setsockopt(
-                    socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER
-                )
+                writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
             while Kind.LINK_UNREAD in self.troubles:
                 await self.changed.wait()
@@ -143,6 +141,7 @@
 
     def read_in_steps(self, writer: asyncio.StreamWriter) -> None:
         """While that trouble lasts, this connection is read for a moment now and then."""
+
         async def steps() -> None:
             transport = writer.transport
             while Kind.LINK_STEPS in self.troubles and not transport.is_closing():
@@ -150,6 +149,7 @@
                 await asyncio.sleep(STEP_EVERY)
                 transport.resume_reading()  # type: ignore[attr-defined]
                 await asyncio.sleep(STEP_READS)
+
         writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
         task = asyncio.create_task(steps())
         self.tasks.add(task)
--- a/heathford/soak/report.py
+++ b/heathford/soak/report.py
@@ -97,9 +97,7 @@
     ]
 
 
-def soak(
-    seeds: Iterable[int], seconds: float, fronts: int, report: Path, shrinks: bool, tell: Tell
-) -> int:
+def soak(seeds: Iterable[int], seconds: float, fronts: int, report: Path, shrinks: bool, tell: Tell) -> int:
     """Play all seeds; the number of those with a breach."""
     plans, failed = [], 0
     for seed in seeds:
--- a/heathford/soak/run.py
+++ b/heathford/soak/run.py
@@ -29,9 +29,17 @@
 LAG_TOLD = 0.02  # s
 READY_WITHIN = 30.0  # s
 ENGINE_TROUBLES = (Kind.ENGINE_ERRORS, Kind.ENGINE_FULL, Kind.ENGINE_HANGS)
-FRONT_TROUBLES = frozenset({
-    Kind.TERMINATE, Kind.KILL, Kind.RELOAD, Kind.STOP_SHORT, Kind.STOP_LONG, Kind.SIGNAL_SERIES,
-    Kind.STOP_AMID_END})
+FRONT_TROUBLES = frozenset(
+    {
+        Kind.TERMINATE,
+        Kind.KILL,
+        Kind.RELOAD,
+        Kind.STOP_SHORT,
+        Kind.STOP_LONG,
+        Kind.SIGNAL_SERIES,
+        Kind.STOP_AMID_END,
+    }
+)
 DISCOVERY_TROUBLES = (Kind.DISCOVERY_SILENT, Kind.DISCOVERY_SLOW, Kind.DISCOVERY_RESET)
 CLIENT_TROUBLES = (Kind.CLIENTS_LEAVE, Kind.CLIENTS_BAD)
 ROLL_EVERY = 0.3  # s between two front nodes that are told to end
@@ -114,8 +122,13 @@
         uid, zone = f"e{place}-{self.made}", "ab"[place % 2]
         self.zones[uid] = zone
         stand = SoakEngine(
-            uid, place < ENGINES // 2, zone, self.rooms, self.wanted, self.note,
-            self.plan.seed * 100 + self.made
+            uid,
+            place < ENGINES // 2,
+            zone,
+            self.rooms,
+            self.wanted,
+            self.note,
+            self.plan.seed * 100 + self.made,
         )
         stand.boot_ms = boot_ms
         await stand.open()
@@ -170,8 +183,7 @@
         try:
             for front in self.fronts:
                 front.shims = [
-                    (what, begin + since, begin + until, figure)
-                    for what, since, until, figure in front.shims
+                    (what, begin + since, begin + until, figure) for what, since, until, figure in front.shims
                 ]
             await asyncio.gather(*(front.start() for front in self.fronts))
             if await self.all_ready():
@@ -197,8 +209,8 @@
         addresses = [front.address for front in self.fronts]
         for number in range(CLIENTS_EACH * self.count):
             client = SoakClient(
-                number, addresses, self.note, self.client_troubles, self.plan.seed,
-                self.plan.longest_deadline)
+                number, addresses, self.note, self.client_troubles, self.plan.seed, self.plan.longest_deadline
+            )
             self.spawn(client.run())
         for trouble in self.plan.troubles:
             self.spawn(self.bring(trouble, begin + trouble.at))
@@ -253,9 +265,15 @@
         spared = first + trouble.target // 2 % half
         engines = [self.engines[place] for place in range(first, first + half) if place != spared]
         for engine in engines:
-            self.note(Record(
-                monotonic(), Seen.TROUBLE, engine=engine.stand.uid, value=trouble.seconds,
-                text=Kind.LINK_SILENT.name))
+            self.note(
+                Record(
+                    monotonic(),
+                    Seen.TROUBLE,
+                    engine=engine.stand.uid,
+                    value=trouble.seconds,
+                    text=Kind.LINK_SILENT.name,
+                )
+            )
             await engine.relay.begin(Kind.LINK_SILENT)
         await asyncio.sleep(trouble.seconds)
         for engine in engines:
@@ -264,8 +282,11 @@
     async def roll(self) -> None:
         """Each front node is told to end, one after another."""
         for front in self.fronts:
-            self.note(Record(
-                monotonic(), Seen.TROUBLE, front.name, value=front.to_the_kill, text=Kind.TERMINATE.name))
+            self.note(
+                Record(
+                    monotonic(), Seen.TROUBLE, front.name, value=front.to_the_kill, text=Kind.TERMINATE.name
+                )
+            )
             self.spawn(front.suffer(Kind.TERMINATE, 0.0))
             await asyncio.sleep(ROLL_EVERY)
 
--- a/heathford/standin/disk.py
+++ b/heathford/standin/disk.py
@@ -63,7 +63,7 @@
         try:
             self.called("append", name)
         except (OSError, CrashError):
-            self.put(content, data[:self.chance.randrange(len(data) + 1)])  # a short write
+            self.put(content, data[: self.chance.randrange(len(data) + 1)])  # a short write
             raise
         self.put(content, data[:fits])
         if fits < len(data):
@@ -79,7 +79,7 @@
         self.called("truncate", name)
         content = self.files[name]
         del content.now[size:]
-        content.pieces = [(at, data[:max(0, size - at)]) for at, data in content.pieces if at < size]
+        content.pieces = [(at, data[: max(0, size - at)]) for at, data in content.pieces if at < size]
         del content.safe[size:]
 
     def sync(self, name: str) -> None:
@@ -123,10 +123,10 @@
         left = bytearray(content.safe)
         for at, data in content.pieces:
             fate = self.chance.randrange(4)
-            part = data if fate < 2 else data[:self.chance.randrange(len(data) + 1)] if fate == 2 else b""
+            part = data if fate < 2 else data[: self.chance.randrange(len(data) + 1)] if fate == 2 else b""
             if part:
                 left += bytes(max(0, at - len(left)))
-                left[at:at + len(part)] = part
+                left[at : at + len(part)] = part
         return left
 
     def crashed(self) -> "Disk":
--- a/heathford/standin/engine.py
+++ b/heathford/standin/engine.py
@@ -44,10 +44,30 @@
 
 class Engine:
     def __init__(
-        self, role: str, name: str, zone: str, rack: str, address: str, memory: int, bytes_per_token: float,
-        warm_after: float, cold_from: float, cold_multiple: float, cold_window: float, slots: int,
-        queue: int, step: float, step_per_stream: float, step_per_1000_context: float, read_rate: float,
-        chunk: int, move_rate: float, rack_rate: float, zone_rate: float, state_life: float, kept_texts: int,
+        self,
+        role: str,
+        name: str,
+        zone: str,
+        rack: str,
+        address: str,
+        memory: int,
+        bytes_per_token: float,
+        warm_after: float,
+        cold_from: float,
+        cold_multiple: float,
+        cold_window: float,
+        slots: int,
+        queue: int,
+        step: float,
+        step_per_stream: float,
+        step_per_1000_context: float,
+        read_rate: float,
+        chunk: int,
+        move_rate: float,
+        rack_rate: float,
+        zone_rate: float,
+        state_life: float,
+        kept_texts: int,
     ) -> None:
         self.role, self.name, self.zone, self.rack, self.address = role, name, zone, rack, address
         self.memory, self.bytes_per_token = memory, bytes_per_token
@@ -132,9 +152,11 @@
         return sum(w.held + w.given for w in self.running) + sum(w.tokens for w, _ in self.states.values())
 
     def report(self) -> dict[str, str]:
-        load = {"application_utilization": round(len(self.running) / self.slots, 4),
-                "mem_utilization": round(min(1.0, self.used / self.memory), 4),
-                "named_metrics": {"queue": self.waiting, "held": len(self.running) + len(self.states)}}
+        load = {
+            "application_utilization": round(len(self.running) / self.slots, 4),
+            "mem_utilization": round(min(1.0, self.used / self.memory), 4),
+            "named_metrics": {"queue": self.waiting, "held": len(self.running) + len(self.states)},
+        }
         return {"endpoint-load-metrics": "JSON " + orjson.dumps(load).decode()}
 
     async def answer(self, exchange: Exchange) -> None:
@@ -197,7 +219,7 @@
         chain = blake2b(digest_size=8)
         blocks = []
         for at in range(0, len(data) - size + 1, size):
-            chain.update(data[at:at + size])
+            chain.update(data[at : at + size])
             blocks.append(chain.digest())
         return tokens, blocks
 
@@ -234,10 +256,12 @@
         stream: IOStream | None = None
         try:
             stream = await TCPClient().connect(
-                str(host), int(port or 0), timeout=1.0, ssl_options=self.fetch_tls)
+                str(host), int(port or 0), timeout=1.0, ssl_options=self.fetch_tls
+            )
             await stream.write(
                 f"GET /v1/kv_transfers/{name} HTTP/1.1\r\nHost: {host}\r\n"
-                f"X-Zone: {self.zone}\r\nX-Rack: {self.rack}\r\n\r\n".encode())
+                f"X-Zone: {self.zone}\r\nX-Rack: {self.rack}\r\n\r\n".encode()
+            )
             head = (await stream.read_until(b"\r\n\r\n")).decode("latin-1")
             if " 200 " not in head.split("\r\n")[0]:
                 return False
@@ -276,8 +300,12 @@
             read = self.read_some()
             streams = [w for w in self.running if not w.unread and w.length]
             context = sum(w.tokens + w.given for w in streams)
-            took = (self.step * bool(streams) + self.step_per_stream * len(streams)
-                    + self.step_per_context * context + read / self.read_rate)
+            took = (
+                self.step * bool(streams)
+                + self.step_per_stream * len(streams)
+                + self.step_per_context * context
+                + read / self.read_rate
+            )
             await asyncio.sleep(max(took, 0.0005) / self.part)
             self.give(streams)
 
@@ -290,8 +318,11 @@
             work.done.set()
 
     def admit(self) -> None:
-        while self.queue and len(self.running) < self.slots and (
-                not self.running or self.used + self.queue[0].tokens < self.memory):
+        while (
+            self.queue
+            and len(self.running) < self.slots
+            and (not self.running or self.used + self.queue[0].tokens < self.memory)
+        ):
             self.running.append(self.queue.popleft())
 
     def read_some(self) -> int:
@@ -314,13 +345,22 @@
                 continue
             if not work.given:
                 self.keep(work.blocks)
-                work.exchange.head(200, {
-                    "Content-Type": "text/event-stream", "Transfer-Encoding": "chunked",
-                    "Trailer": "endpoint-load-metrics", **self.report()})
+                work.exchange.head(
+                    200,
+                    {
+                        "Content-Type": "text/event-stream",
+                        "Transfer-Encoding": "chunked",
+                        "Trailer": "endpoint-load-metrics",
+                        **self.report(),
+                    },
+                )
             work.given += 1
             last = work.given == work.length
-            choice = {"index": 0, "text": f" {work.seed}-{work.given}",
-                      "finish_reason": "stop" if last else None}
+            choice = {
+                "index": 0,
+                "text": f" {work.seed}-{work.given}",
+                "finish_reason": "stop" if last else None,
+            }
             event: dict[str, Any] = {"object": "text_completion", "choices": [choice]}
             if last:
                 event["usage"] = self.usage(work)
@@ -335,18 +375,34 @@
         self.keep(work.blocks)
         if not work.exchange.gone and work.name not in self.let_go:
             self.states[work.name] = work, time.time() + self.state_life
-            work.exchange.whole(200, {
-                "object": "text_completion", "choices": [], "usage": self.usage(work),
-                "kv_transfer_params": {
-                    "do_remote_prefill": True, "do_remote_decode": False, "remote_engine_id": self.name,
-                    "remote_host": self.address, "remote_port": self.port, "remote_request_id": work.name,
-                    "remote_block_ids": [], "remote_zone": self.zone}}, self.report())
+            work.exchange.whole(
+                200,
+                {
+                    "object": "text_completion",
+                    "choices": [],
+                    "usage": self.usage(work),
+                    "kv_transfer_params": {
+                        "do_remote_prefill": True,
+                        "do_remote_decode": False,
+                        "remote_engine_id": self.name,
+                        "remote_host": self.address,
+                        "remote_port": self.port,
+                        "remote_request_id": work.name,
+                        "remote_block_ids": [],
+                        "remote_zone": self.zone,
+                    },
+                },
+                self.report(),
+            )
         work.done.set()
 
     def usage(self, work: Work) -> dict[str, Any]:
-        return {"prompt_tokens": work.tokens, "completion_tokens": work.given,
-                "total_tokens": work.tokens + work.given,
-                "prompt_tokens_details": {"cached_tokens": work.kept}}
+        return {
+            "prompt_tokens": work.tokens,
+            "completion_tokens": work.given,
+            "total_tokens": work.tokens + work.given,
+            "prompt_tokens_details": {"cached_tokens": work.kept},
+        }
 
     # Commands.
 
--- a/heathford/standin/link.py
+++ b/heathford/standin/link.py
@@ -26,7 +26,13 @@
         self.sent = 0
 
     def send(
-        self, endpoint: Endpoint, name: str, body: Mapping[str, Any], kv: Any, mark: str, timeout: float,
+        self,
+        endpoint: Endpoint,
+        name: str,
+        body: Mapping[str, Any],
+        kv: Any,
+        mark: str,
+        timeout: float,
         events: CallEvents,
     ) -> "AnsweringCall":
         call = AnsweringCall(self, endpoint, body, events)
@@ -87,5 +93,6 @@
                 return
         if not self.cancelled:
             self.done()
-            self.events.ended(Verdict.FINISHED, 0, {}, {
-                "reason": "stop", "usage": {"completion_tokens": self.given}})
+            self.events.ended(
+                Verdict.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.given}}
+            )
--- a/heathford/standin/platform.py
+++ b/heathford/standin/platform.py
@@ -21,7 +21,8 @@
     b'data: {"choices":[{"index":0,"delta":{"content":"cd"},"finish_reason":"stop"}]}\n\n',
     b'data: {"choices":[],"usage":{"prompt_tokens":9,"completion_tokens":2,'
     b'"prompt_tokens_details":{"cached_tokens":4}}}\n\n',
-    b"data: [DONE]\n\n"]
+    b"data: [DONE]\n\n",
+]
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 REJECTED = "X-Rejected: 1\r\n"
 
@@ -39,10 +40,16 @@
 
 READ = whole(202, b'{"cached_tokens":4}')
 WORDS = {
-    "read": READ, "good": GOOD, "error": whole(500), "full": whole(503, more=REJECTED),
-    "expired": whole(504, more=REJECTED), "busy": whole(503), "gone": whole(410, more=REJECTED),
+    "read": READ,
+    "good": GOOD,
+    "error": whole(500),
+    "full": whole(503, more=REJECTED),
+    "expired": whole(504, more=REJECTED),
+    "busy": whole(503),
+    "gone": whole(410, more=REJECTED),
     "begin": STREAM + chunk(EVENTS[0]),  # and no more
-    "silent": b""}
+    "silent": b"",
+}
 BREAKS = {"reset": b"", "break": STREAM + chunk(EVENTS[0])}  # what comes before the connection ends
 
 
@@ -106,8 +113,16 @@
 
     @property
     def row(self) -> dict[str, Any]:
-        return {"uid": self.uid, "endpoint": self.address, "az": "a", "model": self.model, "pod_group": 0,
-                "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms}
+        return {
+            "uid": self.uid,
+            "endpoint": self.address,
+            "az": "a",
+            "model": self.model,
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        }
 
     async def until(self, count: int, method: str = "POST") -> None:
         """Until that many requests of the method have come."""
@@ -184,14 +199,37 @@
     """As a front node is told them: two kinds of engine, one workload of each effect."""
 
     def category(name: str, effect: str) -> dict[str, Any]:
-        return {"name": name, "objectiveNs": SECOND, "deadlineNs": 4 * SECOND, "idempotency": effect,
-                "stream": True}
+        return {
+            "name": name,
+            "objectiveNs": SECOND,
+            "deadlineNs": 4 * SECOND,
+            "idempotency": effect,
+            "stream": True,
+        }
+
     return {
-        "azs": ["a", "b"], "kinds": ["m0", "m1"], "zone": 0, "myNumber": 0, "nInstances": 1,
+        "azs": ["a", "b"],
+        "kinds": ["m0", "m1"],
+        "zone": 0,
+        "myNumber": 0,
+        "nInstances": 1,
         "registryMode": "automatic",
         "categories": [category("chat", "free"), category("booking", "single_shot")],
-        "familyInfo": {"memoryTokens": [200_000, 150_000], "roleByKind": ["read", "write"],
-                       "tokenAimNs": [50 * MS, 50 * MS], "pinLimitNs": 300 * MS, "unknown": 1},
-        "policyLimits": {"tryLimit": 4, "cancel": True, "retryAfter": True, "maxRetryAfterNs": SECOND,
-                         "connIdleNs": 15 * SECOND, "connectTimeoutNs": 250 * MS, **limits},
-        "safety": {"warmAfterNs": SECOND, "coldFrom": 0.3, "tipMultiple": 2.5, "fallNs": SECOND}}
+        "familyInfo": {
+            "memoryTokens": [200_000, 150_000],
+            "roleByKind": ["read", "write"],
+            "tokenAimNs": [50 * MS, 50 * MS],
+            "pinLimitNs": 300 * MS,
+            "unknown": 1,
+        },
+        "policyLimits": {
+            "tryLimit": 4,
+            "cancel": True,
+            "retryAfter": True,
+            "maxRetryAfterNs": SECOND,
+            "connIdleNs": 15 * SECOND,
+            "connectTimeoutNs": 250 * MS,
+            **limits,
+        },
+        "safety": {"warmAfterNs": SECOND, "coldFrom": 0.3, "tipMultiple": 2.5, "fallNs": SECOND},
+    }
--- a/heathford/standin/process.py
+++ b/heathford/standin/process.py
@@ -31,9 +31,19 @@
     kind, rack = script.named("kind", declared.kind), script.named("rack", declared.rack)
     safety = script.only("safety")
     engine = Engine(
-        kind.role, name, rack.zone, rack.name, address, kind.memory,
-        script.all("workload")[0].bytes_per_token, safety.warm_after, safety.cold_from, safety.cold_multiple,
-        safety.cold_window, **kind.stand_in)
+        kind.role,
+        name,
+        rack.zone,
+        rack.name,
+        address,
+        kind.memory,
+        script.all("workload")[0].bytes_per_token,
+        safety.warm_after,
+        safety.cold_from,
+        safety.cold_multiple,
+        safety.cold_window,
+        **kind.stand_in,
+    )
     serve, fetch = keys_of(script, "stand_in_tls"), keys_of(script, "engine_tls")
     if serve:
         serve.look()
--- a/heathford/standin/registry.py
+++ b/heathford/standin/registry.py
@@ -36,10 +36,15 @@
         elif "watch" in query:
             await self.watch(exchange, int(query.get("resourceVersion", ["0"])[0]))
         else:
-            exchange.whole(200, {
-                "kind": "EngineList", "apiVersion": "heathford/v1",
-                "metadata": {"resourceVersion": str(self.version)},
-                "items": [self.seen(exchange, i) for i in self.items.values()]})
+            exchange.whole(
+                200,
+                {
+                    "kind": "EngineList",
+                    "apiVersion": "heathford/v1",
+                    "metadata": {"resourceVersion": str(self.version)},
+                    "items": [self.seen(exchange, i) for i in self.items.values()],
+                },
+            )
 
     async def watch(self, exchange: Exchange, since: int) -> None:
         exchange.head(200, {"Content-Type": "application/json", "Transfer-Encoding": "chunked"})
@@ -47,8 +52,16 @@
             since = self.oldest
         while not exchange.gone:
             if since < self.oldest:
-                self.line(exchange, "ERROR", {"kind": "Status", "code": 410, "reason": "Expired",
-                                              "message": f"too old resource version: {since}"})
+                self.line(
+                    exchange,
+                    "ERROR",
+                    {
+                        "kind": "Status",
+                        "code": 410,
+                        "reason": "Expired",
+                        "message": f"too old resource version: {since}",
+                    },
+                )
                 exchange.end()
                 return
             for version, kind, item in list(self.changes):
@@ -129,5 +142,3 @@
         task = asyncio.get_running_loop().create_task(self.publish(kind, item))
         self.tasks.append(task)
         self.tasks = [t for t in self.tasks if not t.done()]
-
-
--- a/heathford/standin/server.py
+++ b/heathford/standin/server.py
@@ -93,6 +93,7 @@
 
         def closed() -> None:
             exchange.gone = True
+
         stream.set_close_callback(closed)
         await self.answer(exchange)
         stream.set_close_callback(None)
--- a/heathford/store/decisions.py
+++ b/heathford/store/decisions.py
@@ -82,7 +82,7 @@
     kept = sorted(snapshots)[-2:]
     if len(kept) < 2:
         return [], []
-    old = [place for place in range(len(firsts) - 1) if min(firsts[place + 1:]) <= kept[0] + 1]
+    old = [place for place in range(len(firsts) - 1) if min(firsts[place + 1 :]) <= kept[0] + 1]
     return [s for s in sorted(snapshots) if s < kept[0]], old
 
 
--- a/heathford/store/files.py
+++ b/heathford/store/files.py
@@ -72,7 +72,7 @@
     def append(self, name: str, data: bytes) -> None:
         descriptor, left = self.descriptor(name), memoryview(data)
         while left:  # a short write is no error yet: the next says why
-            left = left[os.write(descriptor, left):]
+            left = left[os.write(descriptor, left) :]
 
     def truncate(self, name: str, size: int) -> None:
         os.ftruncate(self.descriptor(name), size)
--- a/heathford/store/format.py
+++ b/heathford/store/format.py
@@ -76,9 +76,9 @@
             end = at + space_size + key_size + value_size
             if end > len(data):
                 raise FormatError("a change cut off")
-            space = data[at:at + space_size].decode()
-            key = data[at + space_size:at + space_size + key_size]
-            value = None if kind == DELETE else data[end - value_size:end]
+            space = data[at : at + space_size].decode()
+            key = data[at + space_size : at + space_size + key_size]
+            value = None if kind == DELETE else data[end - value_size : end]
             found.append(Change(space, key, value, until))
             at = end
     except (struct.error, UnicodeDecodeError) as problem:
@@ -113,7 +113,7 @@
     found, version, _, sequence, records, check = HEADER.unpack_from(data)
     if found != magic:
         raise FormatError("another kind of file")
-    if crc32c(data[:HEADER.size - 4]) != check:
+    if crc32c(data[: HEADER.size - 4]) != check:
         raise FormatError("a header that does not match its checksum")
     if version not in (VERSION, BEFORE):
         raise FormatError(f"format version {version}; read are {VERSION} and {BEFORE}")
@@ -128,10 +128,10 @@
     end = at + FRAME.size + size
     if size > MOST or end > len(data):
         return None
-    if crc32c(data[at:at + 4] + data[at + 8:end]) != check:
+    if crc32c(data[at : at + 4] + data[at + 8 : end]) != check:
         return None
     try:
-        return Record(sequence, durable, time, decode_changes(data[at + FRAME.size:end])), end
+        return Record(sequence, durable, time, decode_changes(data[at + FRAME.size : end])), end
     except FormatError:
         return None
 
--- a/heathford/store/journal.py
+++ b/heathford/store/journal.py
@@ -14,8 +14,22 @@
 from heathford.store.decisions import PART, Trouble, droppable, seals
 from heathford.store.files import Files
 from heathford.store.format import (
-    HEADER, LOG, LOG_FORM, NEW_FORM, SNAPSHOT, SNAPSHOT_FORM, Change, FormatError, Record, encode_changes,
-    encode_record, frame, header, proof_after, read_header, record_at,
+    HEADER,
+    LOG,
+    LOG_FORM,
+    NEW_FORM,
+    SNAPSHOT,
+    SNAPSHOT_FORM,
+    Change,
+    FormatError,
+    Record,
+    encode_changes,
+    encode_record,
+    frame,
+    header,
+    proof_after,
+    read_header,
+    record_at,
 )
 from heathford.store.views import Growing, View
 
@@ -128,7 +142,7 @@
     begun = [segment_of(n.removesuffix(".new") + ".seg") for n in names if n.endswith(".new")]
     found.generation = max((s.generation for s in [*segments, *begun] if s), default=0)
     for place, segment in enumerate(segments):
-        limit = min((s.first for s in segments[place + 1:]), default=None)
+        limit = min((s.first for s in segments[place + 1 :]), default=None)
         replay(files.read(segment.name), segment, None if limit is None else limit - 1, found)
         if limit is not None and not found.damage:
             found.prove(min(limit - 1, found.grown.sequence))  # it was on disk before the next was begun
@@ -369,4 +383,3 @@
 def failure(problem: OSError, trouble: Trouble) -> JournalError:
     full = problem.errno in (errno.ENOSPC, errno.EDQUOT)
     return JournalError(Trouble.NO_SPACE if full else trouble, problem.strerror or repr(problem))
-
--- a/heathford/store/store.py
+++ b/heathford/store/store.py
@@ -48,7 +48,10 @@
     much. Made by `open`; used from one loop."""
 
     def __init__(
-        self, journal: Journal, close: Callable[[], None], wall: Callable[[], float],
+        self,
+        journal: Journal,
+        close: Callable[[], None],
+        wall: Callable[[], float],
         steady: Callable[[], float],
     ) -> None:
         self.journal, self.close_files, self.steady = journal, close, steady
@@ -74,7 +77,9 @@
 
     @classmethod
     async def open(
-        cls, folder: Path, wall: Callable[[], float] = time.time,
+        cls,
+        folder: Path,
+        wall: Callable[[], float] = time.time,
         steady: Callable[[], float] = time.monotonic,
     ) -> "Store":
         """wall, steady: clocks in s, read at the start and in service.
@@ -92,6 +97,7 @@
             journal = Journal(files, found)
             journal.settle()
             return journal
+
         try:
             journal = await asyncio.get_running_loop().run_in_executor(None, read)
         except BaseException:
@@ -133,9 +139,7 @@
     def delete(self, space: str, key: bytes) -> "asyncio.Future[int]":
         return self.write([Change(space, key, None)])
 
-    def swap(
-        self, space: str, key: bytes, old: bytes | None, new: bytes | None
-    ) -> "asyncio.Future[int]":
+    def swap(self, space: str, key: bytes, old: bytes | None, new: bytes | None) -> "asyncio.Future[int]":
         """Puts the new value if the key has the old one (None: is not there); raises ConflictError."""
         if self.get(space, key) != old:
             raise ConflictError(f"{space}/{key!r} has another value")
@@ -188,8 +192,11 @@
                 self.journal.write([(b.changes, b.at) for b in group])
             except Exception as problem:
                 epoch += 1
-                wrong = problem if isinstance(problem, JournalError) else JournalError(
-                    Trouble.WRITE, repr(problem))
+                wrong = (
+                    problem
+                    if isinstance(problem, JournalError)
+                    else JournalError(Trouble.WRITE, repr(problem))
+                )
                 self.tell(self.failed, group, wrong, epoch)
             else:
                 self.tell(self.on_disk, group, time.monotonic() - begun)
@@ -258,7 +265,8 @@
         if self.compacting and self.compacting.is_alive():
             return False
         self.compacting = threading.Thread(
-            target=self.write_snapshot, args=(self.durable,), name="store-snapshot", daemon=True)
+            target=self.write_snapshot, args=(self.durable,), name="store-snapshot", daemon=True
+        )
         self.compacting.start()
         return True
 
--- a/heathford/store/tools.py
+++ b/heathford/store/tools.py
@@ -30,8 +30,10 @@
     for what in found.torn:
         show(f"torn end: {what}")
     newest = found.grown
-    show(f"{sum(map(len, newest.spaces.values()))} entries up to record {newest.sequence}; "
-         f"{len(found.segments)} segments, {len(found.snapshots)} whole snapshots")
+    show(
+        f"{sum(map(len, newest.spaces.values()))} entries up to record {newest.sequence}; "
+        f"{len(found.segments)} segments, {len(found.snapshots)} whole snapshots"
+    )
     if found.damage:
         return 2
     if not found.torn:
@@ -60,17 +62,29 @@
 def stat(files: Files) -> dict[str, Any]:
     found = recover(files)
     names = files.names()
-    spaces = {name: {"entries": len(space), "bytes": sum(len(k) + len(v) for k, (v, _) in space.items()),
-                     "lasting": sum(until is None for _, until in space.values())}
-              for name, space in sorted(found.grown.spaces.items())}
+    spaces = {
+        name: {
+            "entries": len(space),
+            "bytes": sum(len(k) + len(v) for k, (v, _) in space.items()),
+            "lasting": sum(until is None for _, until in space.values()),
+        }
+        for name, space in sorted(found.grown.spaces.items())
+    }
     data = sum(s["bytes"] for s in spaces.values())
     used = sum(files.size(n) for n in names)
     return {
-        "record": found.grown.sequence, "spaces": spaces, "bytes of entries": data, "bytes on disk": used,
+        "record": found.grown.sequence,
+        "spaces": spaces,
+        "bytes of entries": data,
+        "bytes on disk": used,
         "space amplification": round(used / data, 2) if data else None,
         "segments": sorted(n for n in names if segment_of(n)),
         "snapshots": sorted(n for n in names if snapshot_of(n) is not None),
-        "formats": found.versions, "damage": found.damage, "torn": found.torn, "broken": found.covered}
+        "formats": found.versions,
+        "damage": found.damage,
+        "torn": found.torn,
+        "broken": found.covered,
+    }
 
 
 def dump(files: Files, space: str) -> Iterator[dict[str, Any]]:
@@ -99,4 +113,3 @@
             pass
         journal.write([((), journal.time)])
     return before, sum(files.size(n) for n in files.names())
-
--- a/heathford/store/views.py
+++ b/heathford/store/views.py
@@ -29,8 +29,11 @@
                 space[change.key] = (change.value, change.until)
 
     def view(self) -> "View":
-        return View(pmap({name: pmap(space) for name, space in self.spaces.items() if space}),
-                    self.sequence, self.time)
+        return View(
+            pmap({name: pmap(space) for name, space in self.spaces.items() if space}),
+            self.sequence,
+            self.time,
+        )
 
 
 class View:
--- a/heathford/terminal/app.py
+++ b/heathford/terminal/app.py
@@ -58,8 +58,10 @@
     .end { text-style: italic; }
     """
     BINDINGS = [  # noqa: RUF012 - Textual's own form
-        Binding("escape", "cancel", "Cancel all"), Binding("ctrl+l", "clear", "Clear"),
-        Binding("ctrl+q", "quit", "Quit")]
+        Binding("escape", "cancel", "Cancel all"),
+        Binding("ctrl+l", "clear", "Clear"),
+        Binding("ctrl+q", "quit", "Quit"),
+    ]
 
     def __init__(
         self, make: Callable[[], Client], models: list[str], max_tokens: int, timeout: float
@@ -111,7 +113,8 @@
         self.sub_title = self.board.summary
         try:
             stream = self.client.stream(
-                panel.model, panel.prompt, max_tokens=self.max_tokens, timeout=self.timeout)
+                panel.model, panel.prompt, max_tokens=self.max_tokens, timeout=self.timeout
+            )
             async for part in stream:
                 panel.says(part, time.monotonic())
                 view.show()
--- a/heathford/tls/files.py
+++ b/heathford/tls/files.py
@@ -24,8 +24,14 @@
     """
 
     def __init__(
-        self, folder: Path, purpose: Purpose, certificate: str = "", key: str = "", authority: str = "",
-        clients: str = "none", changed: Callable[[ssl.SSLContext], None] = lambda context: None,
+        self,
+        folder: Path,
+        purpose: Purpose,
+        certificate: str = "",
+        key: str = "",
+        authority: str = "",
+        clients: str = "none",
+        changed: Callable[[ssl.SSLContext], None] = lambda context: None,
     ) -> None:
         self.paths = [folder / name if name else None for name in (certificate, key, authority)]
         self.purpose, self.clients, self.changed = purpose, clients, changed
@@ -112,8 +118,9 @@
     declared, folder = calls[0], script.path.parent
     if word == "engine_tls":
         return Keys(folder, Purpose.CLIENT, declared.certificate, declared.key, declared.authority)
-    return Keys(folder, Purpose.SERVER, declared.certificate, declared.key, declared.authority,
-                declared.clients)
+    return Keys(
+        folder, Purpose.SERVER, declared.certificate, declared.key, declared.authority, declared.clients
+    )
 
 
 def key_mistakes(script: Script) -> list[Mistake]:
@@ -121,8 +128,12 @@
     found = []
     for word in ("service_tls", "stand_in_tls", "engine_tls"):
         for declared in script.all(word):
-            found += [Mistake(declared.file, declared.values[LINES].get(name, declared.line),
-                              f"{word}: {name}: {what}") for name, what in declared_faults(script, declared)]
+            found += [
+                Mistake(
+                    declared.file, declared.values[LINES].get(name, declared.line), f"{word}: {name}: {what}"
+                )
+                for name, what in declared_faults(script, declared)
+            ]
     return sorted(found, key=lambda m: m.line)
 
 
--- a/heathford/tls/keys.py
+++ b/heathford/tls/keys.py
@@ -86,7 +86,8 @@
 
 def raw(public: object) -> bytes:
     return public.public_bytes(  # type: ignore[attr-defined, no-any-return]
-        Encoding.DER, PublicFormat.SubjectPublicKeyInfo)
+        Encoding.DER, PublicFormat.SubjectPublicKeyInfo
+    )
 
 
 def name_of(one: x509.Certificate, place: int) -> str:
--- a/heathford/wire/http1.py
+++ b/heathford/wire/http1.py
@@ -58,7 +58,7 @@
                 raise NonsenseError("a line too long")
             return None
         line = bytes(self.buffer[:at])
-        del self.buffer[:at + 2]
+        del self.buffer[: at + 2]
         return line
 
     def read_body(self) -> bytes | None:
@@ -67,8 +67,8 @@
         return part
 
     def take(self) -> bytes | None:
-        part = bytes(self.buffer[:self.left])
-        del self.buffer[:self.left]
+        part = bytes(self.buffer[: self.left])
+        del self.buffer[: self.left]
         self.left -= len(part)
         return part or None
 
@@ -116,9 +116,7 @@
     the connection is not used again, where they would be taken for the next answer.
     """
 
-    def __init__(
-        self, longest_line: int, longest_chunk: int = LONGEST_CHUNK, strict: bool = True
-    ) -> None:
+    def __init__(self, longest_line: int, longest_chunk: int = LONGEST_CHUNK, strict: bool = True) -> None:
         super().__init__(longest_line, longest_chunk)
         self.strict = strict
         self.status = 0
@@ -157,7 +155,7 @@
                 raise NonsenseError("no HTTP/1.1 response")
             return None
         first, *lines = bytes(self.buffer[:end]).decode("latin-1").split("\r\n")
-        del self.buffer[:end + 4]
+        del self.buffer[: end + 4]
         parts = first.split(" ", 2)
         if len(parts) < 2 or parts[0] != "HTTP/1.1" or not (parts[1].isdigit() and len(parts[1]) == 3):
             raise NonsenseError("no HTTP/1.1 status line")
--- a/heathford/wire/requests.py
+++ b/heathford/wire/requests.py
@@ -64,7 +64,7 @@
         if end < 0:
             return None
         first, *lines = self.buffer[:end].decode("latin-1").split("\r\n")
-        del self.buffer[:end + 4]
+        del self.buffer[: end + 4]
         parts = FIRST.fullmatch(first)
         if not parts:
             raise RefusedError(400, "no HTTP request line")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -18,7 +18,6 @@
 pytest_plugins = ["pytester", "known_red"]
 
 
-
 def pytest_collection_finish() -> None:
     """As a front node does once it is ready. Guards against a pause of the test process's own: one full
     collection of all that two thousand collected tests are made of takes 0.10 to 0.18 s on a quiet machine,
@@ -40,10 +39,24 @@
         self.retry_after = -1.0  # s that the last rate-limited client should stay away
         effect, group = settings.pop("effect", Effect.IDEMPOTENT), settings.pop("group", Group.ALL)
         values: dict[str, Any] = dict(
-            seed=1, kinds=KINDS, workloads=[Workload(1.0, 0.0, 0.05, effect, group, 2.0, 1.0)],
-            number=0, fronts=1, zone=0, try_limit=6, pin_limit=0.3, may_cancel=True, may_delay_retries=True,
-            longest_retry=2.0, warm_after=10.0, cold_from=0.3, cold_multiple=2.5, cold_window=2.0,
-            read_in_place=False, subscribe=False)
+            seed=1,
+            kinds=KINDS,
+            workloads=[Workload(1.0, 0.0, 0.05, effect, group, 2.0, 1.0)],
+            number=0,
+            fronts=1,
+            zone=0,
+            try_limit=6,
+            pin_limit=0.3,
+            may_cancel=True,
+            may_delay_retries=True,
+            longest_retry=2.0,
+            warm_after=10.0,
+            cold_from=0.3,
+            cold_multiple=2.5,
+            cold_window=2.0,
+            read_in_place=False,
+            subscribe=False,
+        )
         self.router = Router(self, self, **(values | settings))  # type: ignore[arg-type]
 
     def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
@@ -55,13 +68,22 @@
 
     def take(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> Completion:
         fields: dict[str, Any] = dict(
-            workload=0, member=0, shared_tokens=0, longest=200, answer_hint=0.0, due=self.now + 5.0)
+            workload=0, member=0, shared_tokens=0, longest=200, answer_hint=0.0, due=self.now + 5.0
+        )
         completion = self.router.take(self, session=session, shared=shared, prompt=prompt, **(fields | more))
         self.router.decide()
         return completion
 
-    def end(self, completion: Completion, verdict: Verdict, *, after: float = 0.1, detail: int = 0,
-            closed: bool = False, **load: float) -> None:
+    def end(
+        self,
+        completion: Completion,
+        verdict: Verdict,
+        *,
+        after: float = 0.1,
+        detail: int = 0,
+        closed: bool = False,
+        **load: float,
+    ) -> None:
         self.now += after
         seq = len(completion.dispatches) - 1
         completion.ended(seq, verdict, after, closed, detail, load)
@@ -269,16 +291,35 @@
     ) -> None:
         self.loop, self.link = StepLoop(), RecordingLink()
         self.core = Core(
-            self.loop, self.link, "f", 1, KINDS, [Workload(1.0, 0.0, 0.05, effect, Group.ALL, 2.0, 1.0)],
-            0, 1, 0, 6, 0.3, may_cancel, 2.0, 10.0, 0.3, cold_multiple, 2.0, answer_margin=0.1,
-            stream_limit=5.0)
+            self.loop,
+            self.link,
+            "f",
+            1,
+            KINDS,
+            [Workload(1.0, 0.0, 0.05, effect, Group.ALL, 2.0, 1.0)],
+            0,
+            1,
+            0,
+            6,
+            0.3,
+            may_cancel,
+            2.0,
+            10.0,
+            0.3,
+            cold_multiple,
+            2.0,
+            answer_margin=0.1,
+            stream_limit=5.0,
+        )
 
-    def engines(
-        self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0
-    ) -> None:
-        self.core.list_changed(False, [
-            (Endpoint(n, f"e{n}", KINDS[kind].role, "127.0.0.1", n), 0, kind, 1, health, 1.0, started)
-            for n, kind in rows])
+    def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
+        self.core.list_changed(
+            False,
+            [
+                (Endpoint(n, f"e{n}", KINDS[kind].role, "127.0.0.1", n), 0, kind, 1, health, 1.0, started)
+                for n, kind in rows
+            ],
+        )
         self.loop.turn()
 
     def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[Client, Taken]:
@@ -302,6 +343,7 @@
     def violation(self: Gate, rule: Rule, name: str, what: str) -> None:
         seen.append(f"{rule.name}: {name}: {what}")
         count(self, rule, name, what)
+
     monkeypatch.setattr(Gate, "violation", violation)
     yield seen
     assert not seen
--- a/tests/engine_processes.py
+++ b/tests/engine_processes.py
@@ -15,17 +15,25 @@
     listener = socket.create_server(("127.0.0.1", 0), backlog=128)
     print(listener.getsockname()[1], flush=True)
 """
-NEVER_ACCEPTS = LISTENS + """
+NEVER_ACCEPTS = (
+    LISTENS
+    + """
     signal.pause()
 """
+)
 FULL_QUEUE = NEVER_ACCEPTS.replace("backlog=128", "backlog=0")  # one connection fits in, no more
-SWALLOWS = LISTENS + """
+SWALLOWS = (
+    LISTENS
+    + """
     held = []
     while True:
         held.append(listener.accept()[0])
         held[-1].recv(1 << 20)
 """
-READS_AND_STOPS = LISTENS + f"""
+)
+READS_AND_STOPS = (
+    LISTENS
+    + f"""
     connection = listener.accept()[0]
     connection.recv(1 << 20)
     connection.sendall({READ!r})
@@ -33,6 +41,7 @@
     os.kill(os.getpid(), signal.SIGSTOP)
     signal.pause()
 """
+)
 
 
 class EngineProcess:
@@ -46,7 +55,8 @@
     async def start(self) -> None:
         """Start it, and wait until it listens."""
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", self.script, stdout=asyncio.subprocess.PIPE, env=dict(os.environ))
+            sys.executable, "-c", self.script, stdout=asyncio.subprocess.PIPE, env=dict(os.environ)
+        )
         assert self.process.stdout
         self.port = int(await self.process.stdout.readline())
 
@@ -62,8 +72,16 @@
 
     @property
     def row(self) -> dict[str, Any]:
-        return {"uid": self.uid, "endpoint": f"127.0.0.1:{self.port}", "az": "a", "model": self.model,
-                "pod_group": 0, "state": "SERVING", "capacity_hint": 1.0, "boot_ms": 0}
+        return {
+            "uid": self.uid,
+            "endpoint": f"127.0.0.1:{self.port}",
+            "az": "a",
+            "model": self.model,
+            "pod_group": 0,
+            "state": "SERVING",
+            "capacity_hint": 1.0,
+            "boot_ms": 0,
+        }
 
     async def close(self) -> None:
         if self.process:
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -89,8 +89,10 @@
         # A run of a few files can't tell whether a test of another file exists.
         whole = not chosen_tests and config.args == config.getini("testpaths")
         checked = [
-            entry for entry in entries
-            if whole or (not chosen_tests and entry.node_id.partition("::")[0] in files)]
+            entry
+            for entry in entries
+            if whole or (not chosen_tests and entry.node_id.partition("::")[0] in files)
+        ]
         unknown = missing(checked, [item.nodeid for item in items])
         if unknown:
             raise KnownRedError(f"{FILE_NAME}: no such test: {', '.join(unknown)}")
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -18,7 +18,8 @@
 
 def write_configuration(path: Path, discovery: str) -> bytes:
     said = orjson.dumps(
-        {"discovery": discovery, "limits": {"sockets": 256}, "seed": 1, "settings": settings()})
+        {"discovery": discovery, "limits": {"sockets": 256}, "seed": 1, "settings": settings()}
+    )
     path.write_bytes(said)
     return said
 
@@ -33,9 +34,18 @@
     path = folder / "config.json"
     write_configuration(path, address)
     process = await asyncio.create_subprocess_exec(
-        sys.executable, *arguments, cwd=Path(__file__).parent.parent, stderr=asyncio.subprocess.PIPE,
-        env={**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": listen, "NODE_DISCOVERY": address,
-             "NODE_CONFIG": str(path)})
+        sys.executable,
+        *arguments,
+        cwd=Path(__file__).parent.parent,
+        stderr=asyncio.subprocess.PIPE,
+        env={
+            **os.environ,
+            "NODE_NAME": "n0",
+            "NODE_LISTEN": listen,
+            "NODE_DISCOVERY": address,
+            "NODE_CONFIG": str(path),
+        },
+    )
     try:
         yield process
     finally:
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -65,9 +65,26 @@
     def start(self) -> None:
         fleet = self.fleet
         self.router = Router(
-            fleet, self, self.number, fleet.kinds,
-            fleet.workloads, self.number, fleet.fronts, 0,
-            4, 0.5, True, True, 2.0, WARM_AFTER, COLD_FROM, MULTIPLE, WINDOW, False, False)
+            fleet,
+            self,
+            self.number,
+            fleet.kinds,
+            fleet.workloads,
+            self.number,
+            fleet.fronts,
+            0,
+            4,
+            0.5,
+            True,
+            True,
+            2.0,
+            WARM_AFTER,
+            COLD_FROM,
+            MULTIPLE,
+            WINDOW,
+            False,
+            False,
+        )
         self.tell(True, list(fleet.started))
 
     def tell(self, complete: bool, engines: list[int]) -> None:
@@ -89,8 +106,14 @@
     """All front nodes and engines."""
 
     def __init__(
-        self, fronts: int, kinds: list[Kind], cold: int, seed: int, capacity: float = CAPACITY,
-        day: float = DAY, restarted: float = RESTARTED,
+        self,
+        fronts: int,
+        kinds: list[Kind],
+        cold: int,
+        seed: int,
+        capacity: float = CAPACITY,
+        day: float = DAY,
+        restarted: float = RESTARTED,
     ) -> None:
         self.random, self.now, self.fronts, self.kinds = Random(seed), BEGIN, fronts, kinds
         self.capacity, self.restarted = capacity, restarted
@@ -139,7 +162,8 @@
         prompt = self.random.choice((300, 1500, 3000, 6000))
         session = str(self.random.random())
         door.handle = node.router.take(
-            door, 0, 0, session, shared, prompt, prompt // 2 if shared else 0, 100, 0.0, self.now + 4.0)
+            door, 0, 0, session, shared, prompt, prompt // 2 if shared else 0, 100, 0.0, self.now + 4.0
+        )
         node.router.decide()
 
     def begin(self, door: RequestDoor, attempt: int, engine: int, timeout: float) -> None:
@@ -168,6 +192,7 @@
             assert door.handle
             door.handle.ended(attempt, verdict, after, verdict is Verdict.FINISHED, 0, {})
             door.front.router.decide()
+
         self.at(self.now + after, end)
 
     def cold_sends(self, engine: int) -> list[float]:
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -60,10 +60,12 @@
     """A completion as clients ask for it; size: bytes of its prompt."""
     body = orjson.dumps({"stream": True, "messages": [{"role": "user", "content": "x" * size}]})
     close = "" if keep else "Connection: close\r\n"
-    return (f"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\n{close}"
-            f"X-Call-Class: {request_class}\r\nX-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n"
-            "X-Call-Info: prompt_len=9,prefix_len=0,max_out=20\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\n{close}"
+        f"X-Call-Class: {request_class}\r\nX-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n"
+        "X-Call-Info: prompt_len=9,prefix_len=0,max_out=20\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 class Held:
@@ -108,8 +110,16 @@
 
     @property
     def row(self) -> dict[str, Any]:
-        return {"uid": self.uid, "endpoint": self.address, "az": "a", "model": self.model, "pod_group": 0,
-                "state": self.state, "capacity_hint": 1.0, "boot_ms": self.boot_ms}
+        return {
+            "uid": self.uid,
+            "endpoint": self.address,
+            "az": "a",
+            "model": self.model,
+            "pod_group": 0,
+            "state": self.state,
+            "capacity_hint": 1.0,
+            "boot_ms": self.boot_ms,
+        }
 
     def count(self, method: bytes) -> int:
         """How many requests of that method have come, whole or not."""
@@ -265,8 +275,12 @@
 
 @asynccontextmanager
 async def front_node(
-    folder: Path, *engines: RawEngine, name: str = "n0", sockets: int = 256,
-    setting: Callable[[dict[str, Any]], None] | None = None, **limits: Any,
+    folder: Path,
+    *engines: RawEngine,
+    name: str = "n0",
+    sockets: int = 256,
+    setting: Callable[[dict[str, Any]], None] | None = None,
+    **limits: Any,
 ) -> AsyncIterator[Day]:
     """A started front node. setting: changes the settings that it is told."""
     agent = Agent()
@@ -276,8 +290,9 @@
     if setting:
         setting(said)
     path = folder / f"{name}.json"
-    path.write_bytes(orjson.dumps({
-        "discovery": address, "limits": {"sockets": sockets}, "seed": 7, "settings": said}))
+    path.write_bytes(
+        orjson.dumps({"discovery": address, "limits": {"sockets": sockets}, "seed": 7, "settings": said})
+    )
     host, _, port = address.rpartition(":")
     node = Node(name, ("127.0.0.1", 0), (host, int(port)), told(path), path)
     day = Day(node, agent, engines)
@@ -301,13 +316,13 @@
         await asyncio.sleep(0)
 
 
-def run_day(
-    folder: Path, day: Callable[[Day], Awaitable[None]], *engines: RawEngine, **more: Any
-) -> None:
+def run_day(folder: Path, day: Callable[[Day], Awaitable[None]], *engines: RawEngine, **more: Any) -> None:
     """Play that against a front node; with one prefill and one decode engine where none are given."""
+
     async def play() -> None:
         async with front_node(folder, *(engines or (prefill(), decode())), **more) as made:
             await day(made)
+
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         runner.run(play())
 
--- a/tests/test_attempt_left_in_kernel.py
+++ b/tests/test_attempt_left_in_kernel.py
@@ -68,6 +68,7 @@
             read_on(engines)
         if meant:
             calls.append(given)
+
     return wrapped
 
 
@@ -87,9 +88,7 @@
     assert play_a_slow_engine(tmp_path, monkeypatch, moment, SMALL) == [502]
 
 
-def play_a_slow_engine(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, size: int
-) -> list[int]:
+def play_a_slow_engine(tmp_path: Path, monkeypatch: pytest.MonkeyPatch, moment: str, size: int) -> list[int]:
     """Returns the statuses of what the client was answered."""
     engines = (slow_decode("w"), slow_decode("w2"))
     ended: list[Any] = []
@@ -97,8 +96,7 @@
     if moment == "after the look":
         monkeypatch.setattr(EngineCall, "end", held_up(EngineCall.end, True, engines, ended))
     else:
-        monkeypatch.setattr(
-            EngineConnection, "close", held_up(EngineConnection.close, False, engines, ended))
+        monkeypatch.setattr(EngineConnection, "close", held_up(EngineConnection.close, False, engines, ended))
 
     async def day(play: Day) -> None:
         reader = play.engines[0]
@@ -118,5 +116,6 @@
         assert len(whole) <= 1
         assert not whole or client.answers == [502]
         answers.extend(client.answers)
+
     run_day(tmp_path, day, prefill(), *engines)
     return answers
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -32,14 +32,20 @@
 
 
 def line(custom_id: Any, **body: Any) -> bytes:
-    return json.dumps({"custom_id": custom_id, "method": "POST", "url": "/v1/completions", "body": {
-        "model": "w", "prompt": "x" * 40, "max_tokens": 3, **body}}).encode()
+    return json.dumps(
+        {
+            "custom_id": custom_id,
+            "method": "POST",
+            "url": "/v1/completions",
+            "body": {"model": "w", "prompt": "x" * 40, "max_tokens": 3, **body},
+        }
+    ).encode()
 
 
 def checked(data: bytes, piece: int = 1000) -> Checked:
     found, cutter = Checked(OFFERS), Cutter()
     for at in range(0, len(data), piece):
-        for one in cutter.feed(data[at:at + piece]):
+        for one in cutter.feed(data[at : at + piece]):
             found.take(*one)
     for one in cutter.end():
         found.take(*one)
@@ -47,32 +53,41 @@
     return found
 
 
-@pytest.mark.parametrize("data, good, wrong", [
-    (line("a") + b"\n" + line("b"), 2, []), (line("a") + b"\n\n" + line("b") + b"\n", 2, []),
-    (line("a") + b"\n" + line("b")[:30], 1, [("invalid_json_line", 2)]),
-    (line("a") + b"\n" + line("a") + b"\n", 1, [("duplicate_custom_id", 2)]),
-    (line(""), 0, [("invalid_custom_id", 1)]), (line(3), 0, [("invalid_custom_id", 1)]),
-    (line("a", model="v"), 0, [("invalid_body", 1)]), (line("a", stream=True), 0, [("invalid_body", 1)]),
-    (line("a", prompt="x" * (5 << 20)) + b"\n" + line("b"), 1, [("line_too_long", 1)]),
-    (b'{"custom_id": "\xff"}\n' + line("b"), 1, [("invalid_json_line", 1)]),
-    (b"[]", 0, [("invalid_json_line", 1)]),
-    (b"", 0, [("empty_file", None)]), (b"\n \n", 0, [("empty_file", None)]),
-    (line("a").replace(b"POST", b"GET"), 0, [("invalid_url", 1)])])
+@pytest.mark.parametrize(
+    "data, good, wrong",
+    [
+        (line("a") + b"\n" + line("b"), 2, []),
+        (line("a") + b"\n\n" + line("b") + b"\n", 2, []),
+        (line("a") + b"\n" + line("b")[:30], 1, [("invalid_json_line", 2)]),
+        (line("a") + b"\n" + line("a") + b"\n", 1, [("duplicate_custom_id", 2)]),
+        (line(""), 0, [("invalid_custom_id", 1)]),
+        (line(3), 0, [("invalid_custom_id", 1)]),
+        (line("a", model="v"), 0, [("invalid_body", 1)]),
+        (line("a", stream=True), 0, [("invalid_body", 1)]),
+        (line("a", prompt="x" * (5 << 20)) + b"\n" + line("b"), 1, [("line_too_long", 1)]),
+        (b'{"custom_id": "\xff"}\n' + line("b"), 1, [("invalid_json_line", 1)]),
+        (b"[]", 0, [("invalid_json_line", 1)]),
+        (b"", 0, [("empty_file", None)]),
+        (b"\n \n", 0, [("empty_file", None)]),
+        (line("a").replace(b"POST", b"GET"), 0, [("invalid_url", 1)]),
+    ],
+)
 def test_lines_are_checked_each_with_its_number(data: bytes, good: int, wrong: list[Any]) -> None:
     found = checked(data, 100_000)
     assert len(found.places) == good and [(m.code, m.line) for m in found.mistakes] == wrong
     for number, place, size in found.places:
-        assert json.loads(data[place:place + size]) and number == data[:place].count(b"\n") + 1
+        assert json.loads(data[place : place + size]) and number == data[:place].count(b"\n") + 1
 
 
 @given(st.lists(st.binary(max_size=20).filter(lambda b: b"\n" not in b), max_size=10), st.integers(1, 50))
 def test_lines_are_cut_wherever_their_bytes_are_parted(lines: list[bytes], piece: int) -> None:
     data, cutter, found = b"\n".join(lines), Cutter(), []
     for at in range(0, len(data), piece):
-        found += list(cutter.feed(data[at:at + piece]))
+        found += list(cutter.feed(data[at : at + piece]))
     found += list(cutter.end())
     assert [(number, content) for number, _, _, content in found] == [
-        (n + 1, content) for n, content in enumerate(lines) if content.strip()]
+        (n + 1, content) for n, content in enumerate(lines) if content.strip()
+    ]
 
 
 def test_lines_with_one_beginning_are_asked_together() -> None:
@@ -82,12 +97,15 @@
 
 @given(st.binary(max_size=300).filter(lambda b: b"\r\n--x" not in b), st.integers(1, 40))
 def test_a_form_is_read_wherever_its_bytes_are_parted(content: bytes, piece: int) -> None:
-    data = (b'--x\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n--x\r\n'
-            b'Content-Disposition: form-data; name="file"; filename="a.jsonl"\r\nContent-Type: a/b\r\n\r\n'
-            + content + b"\r\n--x--\r\n")
+    data = (
+        b'--x\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n--x\r\n'
+        b'Content-Disposition: form-data; name="file"; filename="a.jsonl"\r\nContent-Type: a/b\r\n\r\n'
+        + content
+        + b"\r\n--x--\r\n"
+    )
     form, got, names, name = Multipart(b"x"), dict[str, bytes](), [], ""
     for at in range(0, len(data), piece):
-        for what, part, filename, more in form.feed(data[at:at + piece]):
+        for what, part, filename, more in form.feed(data[at : at + piece]):
             if what is What.PART:
                 name = part
                 names.append((part, filename))
@@ -98,18 +116,29 @@
     assert got == {"purpose": b"batch", "file": content}
 
 
-@pytest.mark.parametrize("content_type", [
-    "", "text/plain", "multipart/form-data", 'multipart/form-data; boundary=""'])
+@pytest.mark.parametrize(
+    "content_type", ["", "text/plain", "multipart/form-data", 'multipart/form-data; boundary=""']
+)
 def test_a_body_that_is_no_form_is_told(content_type: str) -> None:
     with pytest.raises(MultipartError):
         boundary_of(content_type)
 
 
-@pytest.mark.parametrize("steps, good", [
-    ("in_progress finalizing completed", True), ("failed", True), ("in_progress expired", True),
-    ("in_progress cancelling cancelled", True), ("cancelling cancelled", True), ("completed", False),
-    ("in_progress cancelling completed", False), ("failed cancelling", False),
-    ("in_progress finalizing cancelling", False), ("in_progress expired cancelling", False)])
+@pytest.mark.parametrize(
+    "steps, good",
+    [
+        ("in_progress finalizing completed", True),
+        ("failed", True),
+        ("in_progress expired", True),
+        ("in_progress cancelling cancelled", True),
+        ("cancelling cancelled", True),
+        ("completed", False),
+        ("in_progress cancelling completed", False),
+        ("failed cancelling", False),
+        ("in_progress finalizing cancelling", False),
+        ("in_progress expired cancelling", False),
+    ],
+)
 def test_the_life_of_a_batch(steps: str, good: bool) -> None:
     batch = Batch("b", 0, "f", 100.0, 3600.0)
     try:
@@ -185,6 +214,7 @@
 
 # The whole, in this process.
 
+
 class Start:
     """One start of a front with batches over a folder."""
 
@@ -193,14 +223,21 @@
         self.http = httpx.AsyncClient(base_url=f"http://127.0.0.1:{served.port}", timeout=15.0)
 
     async def upload(self, data: bytes, member: str = "") -> str:
-        answer = await self.http.post("/v1/files", data={"purpose": "batch"}, headers={MEMBER: member},
-                                      files={"file": ("a.jsonl", data)})
+        answer = await self.http.post(
+            "/v1/files",
+            data={"purpose": "batch"},
+            headers={MEMBER: member},
+            files={"file": ("a.jsonl", data)},
+        )
         assert answer.status_code == 200, answer.text
         return str(answer.json()["id"])
 
     async def create(self, file: str, member: str = "") -> str:
-        answer = await self.http.post("/v1/batches", headers={MEMBER: member}, json={
-            "input_file_id": file, "endpoint": "/v1/completions", "completion_window": "24h"})
+        answer = await self.http.post(
+            "/v1/batches",
+            headers={MEMBER: member},
+            json={"input_file_id": file, "endpoint": "/v1/completions", "completion_window": "24h"},
+        )
         assert answer.status_code == 200, answer.text
         return str(answer.json()["id"])
 
@@ -254,6 +291,7 @@
         async with asyncio.timeout(25.0):
             await scene(start)
         await ends(start, kill=False)
+
     asyncio.run(run())
 
 
@@ -268,8 +306,10 @@
         assert found["request_counts"] == {"total": 120, "completed": 120, "failed": 0}
         answers = await start.lines(found["output_file_id"])
         assert sorted(a["custom_id"] for a in answers) == sorted(f"c{n}" for n in range(120))
-        assert all(a["response"]["body"]["choices"][0]["text"] == "t" * (1 + int(a["custom_id"][1:]) % 5)
-                   for a in answers)
+        assert all(
+            a["response"]["body"]["choices"][0]["text"] == "t" * (1 + int(a["custom_id"][1:]) % 5)
+            for a in answers
+        )
         assert found["error_file_id"] is None and found["completed_at"] >= found["in_progress_at"]
         other = {MEMBER: "n"}
         content = f"/v1/files/{found['output_file_id']}/content"
@@ -282,6 +322,7 @@
         rest = await start.get(f"/v1/files?limit=100&after={page['last_id']}")
         assert len(page["data"]) == 2 and page["has_more"] and len(rest["data"]) == 3 and not rest["has_more"]
         assert (await start.http.delete(f"/v1/files/{file}")).json()["deleted"]
+
     play(tmp_path, scene)
 
 
@@ -309,29 +350,44 @@
         assert last["status"] == "completed"
         with pytest.raises(NoFront):
             await Batches("http://127.0.0.1:1").submit("x")
+
     play(tmp_path, scene)
 
 
-@pytest.mark.parametrize("said, status, what", [
-    ({"endpoint": "/v1/chat"}, 400, "endpoint"), ({"completion_window": "1d"}, 400, "completion_window"),
-    ({"input_file_id": "file-0"}, 404, "no file"), ({"metadata": {"a": 1}}, 400, "metadata")])
+@pytest.mark.parametrize(
+    "said, status, what",
+    [
+        ({"endpoint": "/v1/chat"}, 400, "endpoint"),
+        ({"completion_window": "1d"}, 400, "completion_window"),
+        ({"input_file_id": "file-0"}, 404, "no file"),
+        ({"metadata": {"a": 1}}, 400, "metadata"),
+    ],
+)
 def test_what_is_no_batch_is_told(tmp_path: Path, said: dict[str, Any], status: int, what: str) -> None:
     async def scene(start: Start) -> None:
         file = await start.upload(line("a"))
-        answer = await start.http.post("/v1/batches", json={
-            "input_file_id": file, "endpoint": "/v1/completions", "completion_window": "24h"} | said)
+        answer = await start.http.post(
+            "/v1/batches",
+            json={"input_file_id": file, "endpoint": "/v1/completions", "completion_window": "24h"} | said,
+        )
         assert answer.status_code == status and what in answer.json()["detail"]
-        too_much = await start.http.post("/v1/files", data={"purpose": "batch"},
-                                         files={"file": ("a", b"x" * (3 << 19))})
+        too_much = await start.http.post(
+            "/v1/files", data={"purpose": "batch"}, files={"file": ("a", b"x" * (3 << 19))}
+        )
         assert too_much.status_code == 413 and not list((tmp_path / "files").glob("*.part"))
-        assert (await start.http.post("/v1/files", data={"purpose": "x"}, files={"file": ("a", b"x")})
-                ).status_code == 400
-        assert (await start.http.post("/v1/files", content=b"--x\r\n", headers={
-            "Content-Type": "multipart/form-data; boundary=x"})).status_code == 400
+        assert (
+            await start.http.post("/v1/files", data={"purpose": "x"}, files={"file": ("a", b"x")})
+        ).status_code == 400
+        assert (
+            await start.http.post(
+                "/v1/files", content=b"--x\r\n", headers={"Content-Type": "multipart/form-data; boundary=x"}
+            )
+        ).status_code == 400
         batch = await start.create(await start.upload(line("a") + b"\n{\n"))
         failed = await start.until(batch, "failed")
         assert failed["errors"]["data"][0]["line"] == 2
         assert (await start.http.post(f"/v1/batches/{batch}/cancel")).status_code == 409
+
     play(tmp_path, scene)
 
 
@@ -349,6 +405,7 @@
         assert len(done) == counts["completed"] >= 20 and len(wrong) == counts["failed"]
         assert len({*done, *wrong}) == len(done) + len(wrong) < 300
         assert not start.served.core.live and not start.runner.out
+
     play(tmp_path, scene)
 
 
@@ -361,18 +418,21 @@
         start.runner.batches[batch].window = 0.0
         found = await start.until(batch, "expired")
         assert len(await start.lines(found["output_file_id"])) == found["request_counts"]["completed"] >= 10
+
     play(tmp_path, scene)
 
 
 def test_a_line_that_breaks_what_answers_it_is_set_apart(tmp_path: Path) -> None:
     async def scene(start: Start) -> None:
         start.served.link.breaks = 13
-        batch = await start.create(await start.upload(b"\n".join(
-            line(f"c{n}", max_tokens=13 if n == 7 else 2) for n in range(30))))
+        batch = await start.create(
+            await start.upload(b"\n".join(line(f"c{n}", max_tokens=13 if n == 7 else 2) for n in range(30)))
+        )
         found = await start.until(batch, "completed")
         assert found["request_counts"] == {"total": 30, "completed": 29, "failed": 1}
         wrong = await start.lines(found["error_file_id"])
         assert wrong[0]["custom_id"] == "c7" and wrong[0]["error"]["code"] == "aborted"
+
     play(tmp_path, scene)
 
 
@@ -390,6 +450,7 @@
             self.again(0)
             raise OSError(errno.ENOSPC, "no space left on device")
         return true(self, lines)
+
     monkeypatch.setattr(Answers, "write", write)
 
     async def scene(start: Start) -> None:
@@ -397,6 +458,7 @@
         found = await start.until(batch, "completed")
         answers = await start.lines(found["output_file_id"])
         assert sorted(a["custom_id"] for a in answers) == sorted(f"c{n}" for n in range(60)) and not sick
+
     play(tmp_path, scene)
 
 
@@ -408,6 +470,7 @@
         if kv is not None:
             written[body["prompt"]] = written.get(body["prompt"], 0) + 1
         return true(endpoint, name, body, kv, *rest)
+
     start.served.link.send = send  # type: ignore[method-assign, assignment]
 
 
@@ -444,6 +507,7 @@
     async def within() -> dict[str, Any]:
         async with asyncio.timeout(40.0):
             return await run()
+
     result = asyncio.run(within())
     ids = [a["custom_id"] for a in result["answers"]]
     assert sorted(ids) == sorted(f"c{n}" for n in range(count))
--- a/tests/test_child_signals.py
+++ b/tests/test_child_signals.py
@@ -30,6 +30,7 @@
     def waits(*arguments: Any) -> tuple[int, int]:
         may_wait.wait(5.0)
         return wait(*arguments)
+
     monkeypatch.setattr(os, "waitpid", waits)
 
     async def day() -> None:
@@ -40,4 +41,5 @@
             send_signal(child, number)
             may_wait.set()
             assert await child.wait() == STATUS
+
     asyncio.run(day())
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -14,7 +14,14 @@
 import pytest
 
 from heathford.client import (
-    Aborted, BadRequest, Blocking, Finished, HttpClient, NoFront, RateLimited, WebSocketClient,
+    Aborted,
+    BadRequest,
+    Blocking,
+    Finished,
+    HttpClient,
+    NoFront,
+    RateLimited,
+    WebSocketClient,
 )
 from heathford.client.base import Client, TroubleError
 from heathford.client.retry import BACKOFF, BACKOFF_MOST, CREDIT, JITTER, Attempt, Budget, Fronts, Trouble
@@ -40,6 +47,7 @@
     def call(self, work: Callable[[], Any]) -> Any:
         async def run() -> Any:
             return work()
+
         return asyncio.run_coroutine_threadsafe(run(), self.loop).result(10.0)
 
     def add(self, effect: Effect = Effect.IDEMPOTENT, **figures: Any) -> Served:
@@ -54,12 +62,14 @@
 
     def cut(self, served: Served) -> None:
         """All its connections break."""
+
         def close() -> None:
             for socket in list(served.sockets.open):
                 if socket.protocol:
                     socket.protocol.stream.close()
             for connection in list(served.server._connections):
                 connection.stream.close()
+
         self.call(close)
 
 
@@ -81,10 +91,12 @@
 
 def first_at(kind: str, ports: list[int]) -> Callable[[], Client]:
     """A client whose first front is the first of these."""
+
     def make() -> Client:
         client = made(kind, ports, seed=1)
         client.fronts.order, client.fronts.current = list(range(len(ports))), 0
         return client
+
     return make
 
 
@@ -130,8 +142,13 @@
     folder = tmp_path_factory.mktemp("version-1")
     with tarfile.open(HERE / "fixtures" / "version-1.tar.gz") as archive:
         archive.extractall(folder, filter="data")
-    running = subprocess.Popen([sys.executable, str(HERE / "version_1.py"), str(folder), "ask"], text=True,
-                               stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=folder)
+    running = subprocess.Popen(
+        [sys.executable, str(HERE / "version_1.py"), str(folder), "ask"],
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        cwd=folder,
+    )
     assert running.stdin and running.stdout
     asking, answers = running.stdin, running.stdout
 
@@ -139,6 +156,7 @@
         asking.write(json.dumps(asked) + "\n")
         asking.flush()
         return tuple(json.loads(answers.readline()))
+
     yield ask
     asking.close()
     running.wait()
@@ -149,9 +167,15 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("name, fronts, asks, wanted", CASES)
 def test_conformance(
-    fleet: Fleet, library_before: Callable[..., Any], kind: str, blocking: bool, version: str,
-    name: str, fronts: list[dict[str, Any] | None],
-    asks: dict[str, Any], wanted: tuple[str, str, Any],
+    fleet: Fleet,
+    library_before: Callable[..., Any],
+    kind: str,
+    blocking: bool,
+    version: str,
+    name: str,
+    fronts: list[dict[str, Any] | None],
+    asks: dict[str, Any],
+    wanted: tuple[str, str, Any],
 ) -> None:
     ports = []
     for figures in fronts:
@@ -177,7 +201,9 @@
         async def run() -> Finished:
             async with make() as client:
                 return await client.complete(**params)
+
         return asyncio.run(run())
+
     assert outcome(ask) == wanted
 
 
@@ -194,6 +220,7 @@
     async def run() -> None:
         async with asyncio.timeout(15.0), first_at(kind, [f.port for f in fronts])() as client:
             await scene(client, fronts)
+
     asyncio.run(run())
 
 
@@ -202,8 +229,7 @@
 def test_a_front_killed_before_the_first_token(fleet: Fleet, kind: str, repeatable: bool, ended: str) -> None:
     async def scene(client: Client, fronts: list[Served]) -> None:
         fronts[0].link.held = True
-        stream = client.stream(
-            "w", "x" * 400, max_tokens=4, repeatable=repeatable, timeout=2.0)
+        stream = client.stream("w", "x" * 400, max_tokens=4, repeatable=repeatable, timeout=2.0)
         task = stream.start()
         while not fronts[0].core.live:
             await asyncio.sleep(0.001)
@@ -212,6 +238,7 @@
             assert ((await task).text, ended) == ("tttt", "finished")
         except Aborted:
             assert ended == "aborted" and fronts[1].core.tally.taken == 0
+
     two_fronts(fleet, kind, scene)
 
 
@@ -225,6 +252,7 @@
                 if len(got) == 3:
                     fleet.vanish(fronts[0])
         assert problem.value.text == got and 3 <= len(got) < 50
+
     two_fronts(fleet, kind, scene)
 
 
@@ -232,6 +260,7 @@
 def test_a_lost_connection_is_joined_again_without_a_second_dispatch(fleet: Fleet, kind: str) -> None:
     """What must not run twice goes on at its front; the client comes again with its key and misses
     nothing."""
+
     async def scene(client: Client, fronts: list[Served]) -> None:
         got = ""
         async for part in client.stream("w", "x" * 400, max_tokens=30, repeatable=False, timeout=5.0):
@@ -240,12 +269,14 @@
                 fleet.cut(fronts[0])
         assert got == "t" * 30
         assert fronts[0].core.tally.taken == 1 and fronts[0].link.sent == 2 and not fronts[1].core.tally.taken
+
     two_fronts(fleet, kind, scene, Effect.NON_IDEMPOTENT)
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_text_of_another_completion_does_not_go_on_where_one_broke_off(fleet: Fleet, kind: str) -> None:
     """What may run twice ended with its connection: the same front begins it anew."""
+
     async def scene(client: Client, fronts: list[Served]) -> None:
         got = ""
         with pytest.raises(Aborted, match="anew") as problem:
@@ -254,12 +285,14 @@
                 if len(got) == 5:
                     fleet.cut(fronts[0])
         assert problem.value.text == got and fronts[0].core.tally.taken == 2
+
     two_fronts(fleet, kind, scene)
 
 
 @pytest.mark.parametrize("repeatable, raised", [(True, RateLimited), (False, Aborted)])
 def test_what_may_have_run_is_not_called_rate_limited(repeatable: bool, raised: type[Exception]) -> None:
     """A front that lost the connection to it, and then refuses it, has forgotten it."""
+
     class Front(HttpClient):
         async def once(self, front: int, *rest: Any) -> Any:
             self.asked = getattr(self, "asked", 0) + 1
@@ -268,6 +301,7 @@
     async def run() -> None:
         with pytest.raises(raised):
             await Front(["http://127.0.0.1:1"]).complete("w", "x", timeout=0.5, repeatable=repeatable)
+
     asyncio.run(run())
 
 
@@ -277,12 +311,14 @@
             exchange.head(200, {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"})
             exchange.chunk(answers.part("c", "w", "half"))
             exchange.end()
+
         server = Server(answer)
         server.open("127.0.0.1")
         async with HttpClient([f"http://127.0.0.1:{server.port}"]) as client:
             with pytest.raises(Aborted):
                 await client.complete("w", "x", timeout=0.5)
         server.stop()
+
     asyncio.run(scene())
 
 
@@ -295,19 +331,24 @@
         while fronts[0].core.live:
             await asyncio.sleep(0.001)
         assert fronts[0].core.tally.left == 1
+
     two_fronts(fleet, kind, scene)
 
 
-@pytest.mark.parametrize("repeatable, keyed, troubles, fronts", [
-    (True, True, [Trouble.UNREACHED, Trouble.UNREACHED], [1, 2]),
-    (True, True, [Trouble.LOST, Trouble.REFUSED], [0, 1]),
-    (True, False, [Trouble.LOST], [1]),
-    (False, False, [Trouble.LOST], [None]),
-    (False, True, [Trouble.LOST, Trouble.REFUSED, Trouble.LOST], [0, 0, 0]),
-    (False, True, [Trouble.LOST, Trouble.UNREACHED], [0, None]),
-    (False, True, [Trouble.ABORTED], [None]),
-    (True, True, [Trouble.ABORTED], [0]),
-    (False, False, [Trouble.REFUSED, Trouble.UNREACHED], [1, 2])])
+@pytest.mark.parametrize(
+    "repeatable, keyed, troubles, fronts",
+    [
+        (True, True, [Trouble.UNREACHED, Trouble.UNREACHED], [1, 2]),
+        (True, True, [Trouble.LOST, Trouble.REFUSED], [0, 1]),
+        (True, False, [Trouble.LOST], [1]),
+        (False, False, [Trouble.LOST], [None]),
+        (False, True, [Trouble.LOST, Trouble.REFUSED, Trouble.LOST], [0, 0, 0]),
+        (False, True, [Trouble.LOST, Trouble.UNREACHED], [0, None]),
+        (False, True, [Trouble.ABORTED], [None]),
+        (True, True, [Trouble.ABORTED], [0]),
+        (False, False, [Trouble.REFUSED, Trouble.UNREACHED], [1, 2]),
+    ],
+)
 def test_where_a_try_goes_next(
     repeatable: bool, keyed: bool, troubles: list[Trouble], fronts: list[int | None]
 ) -> None:
@@ -339,7 +380,8 @@
     assert waits[0] == 0.0 < waits[1] < waits[2] < waits[3]
     assert max(waits) <= BACKOFF_MOST * (1 + JITTER) and waits[2] % BACKOFF != 0.0
     refused = [
-        Attempt(choice, Budget(0.2), 100.0, True, True).after(Trouble.REFUSED, 20.0, 1.0) for _ in range(2)]
+        Attempt(choice, Budget(0.2), 100.0, True, True).after(Trouble.REFUSED, 20.0, 1.0) for _ in range(2)
+    ]
     assert refused[0] and refused[1] and refused[0].wait != refused[1].wait
 
 
@@ -368,6 +410,7 @@
         fleet.vanish(fronts[0])
         found = await task
         assert found.text == "t" * 20 and found.tries > 1 and fronts[1].core.tally.finished == 1
+
     two_fronts(fleet, kind, scene)
 
 
@@ -381,6 +424,7 @@
         assert (await client.complete("w", "x", max_tokens=2)).text == "tt"
         assert fronts[1].core.tally.finished == 1 and fronts[0].desk.tries.first == 1
         assert fronts[0].desk.tries.again == 0
+
     two_fronts(fleet, "websocket", scene)
 
 
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -22,6 +22,7 @@
             while served.held:
                 await asyncio.sleep(0.001)
         served.server.stop()
+
     asyncio.run(run())
 
 
@@ -32,8 +33,11 @@
     reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
     lines = "".join(f"{k.replace('_', '-')}: {v}\r\n" for k, v in headers.items())
-    writer.write(f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{lines}"
-                 f"Content-Length: {len(data)}\r\n\r\n".encode() + data)
+    writer.write(
+        f"POST /v1/completions HTTP/1.1\r\nHost: x\r\nConnection: close\r\n{lines}"
+        f"Content-Length: {len(data)}\r\n\r\n".encode()
+        + data
+    )
     return reader, writer
 
 
@@ -45,7 +49,7 @@
         rest, body = body, b""
         while rest:
             size, _, rest = rest.partition(b"\r\n")
-            body, rest = body + rest[:int(size, 16)], rest[int(size, 16) + 2:]
+            body, rest = body + rest[: int(size, 16)], rest[int(size, 16) + 2 :]
     return int(first.split()[1]), fields, body
 
 
@@ -66,23 +70,33 @@
         assert status == 200 and said["final"] == "finished" and said["choices"][0]["text"] == "ttttt"
         assert fields["ratelimit"].startswith('"front";r=')
         status, fields, body = await asks(
-            served, {**ASK, "stream": True, "stream_options": {"include_usage": True}})
+            served, {**ASK, "stream": True, "stream_options": {"include_usage": True}}
+        )
         events = [json.loads(e[6:]) for e in body.decode().split("\n\n") if e and e != "data: [DONE]"]
         assert fields["content-type"] == "text/event-stream" and body.endswith(b"data: [DONE]\n\n")
         assert "".join(e["choices"][0]["text"] for e in events if e["choices"]) == "ttttt"
         assert events[-1]["usage"] == {"completion_tokens": 5} and events[-2]["final"] == "finished"
+
     play(scene)
 
 
-@pytest.mark.parametrize("body, status, what", [
-    (b"{", 400, "no JSON"), ([], 400, "an object"), ({**ASK, "stream": 1}, 400, "stream"),
-    ({**ASK, "model": "y"}, 400, "allowed are w"), ({**ASK, "max_tokens": 0}, 400, "max_tokens"),
-    ({**ASK, "timeout": -2}, 400, "timeout")])
+@pytest.mark.parametrize(
+    "body, status, what",
+    [
+        (b"{", 400, "no JSON"),
+        ([], 400, "an object"),
+        ({**ASK, "stream": 1}, 400, "stream"),
+        ({**ASK, "model": "y"}, 400, "allowed are w"),
+        ({**ASK, "max_tokens": 0}, 400, "max_tokens"),
+        ({**ASK, "timeout": -2}, 400, "timeout"),
+    ],
+)
 def test_bad_requests_are_problems(body: Any, status: int, what: str) -> None:
     async def scene(served: Served) -> None:
         found, fields, said = await asks(served, body)
         assert found == status and fields["content-type"] == "application/problem+json"
         assert what in json.loads(said)["detail"]
+
     play(scene)
 
 
@@ -92,6 +106,7 @@
         said = json.loads(body)
         assert status == 429 and fields["retry-after"] == "1"
         assert said["final"] == "rate-limited" and 0 < said["retry_after"] <= 1
+
     play(scene, most_held=10)
 
 
@@ -104,19 +119,29 @@
         while served.held:
             await asyncio.sleep(0.001)
         assert served.core.tally.left == 1
+
     play(scene)
 
 
-@pytest.mark.parametrize("effect, status, taken", [
-    (Effect.IDEMPOTENT, 200, 2), (Effect.NON_IDEMPOTENT, 200, 1)])
+@pytest.mark.parametrize(
+    "effect, status, taken", [(Effect.IDEMPOTENT, 200, 2), (Effect.NON_IDEMPOTENT, 200, 1)]
+)
 def test_a_repeat_on_the_other_protocol_joins_or_runs_again(effect: Effect, status: int, taken: int) -> None:
     """Out on a WebSocket session that is lost, asked again over HTTP by the same key."""
+
     async def scene(served: Served) -> None:
         served.link.pace = 0.02
         async with connect(served.url) as client:
-            await client.send(json.dumps({
-                "jsonrpc": "2.0", "id": 1, "method": "completions.create",
-                "params": {**ASK, "max_tokens": 20, "idempotency_key": "k"}}))
+            await client.send(
+                json.dumps(
+                    {
+                        "jsonrpc": "2.0",
+                        "id": 1,
+                        "method": "completions.create",
+                        "params": {**ASK, "max_tokens": 20, "idempotency_key": "k"},
+                    }
+                )
+            )
             await client.recv()
             client.transport.abort()
         while served.sockets.open:
@@ -127,4 +152,5 @@
         again = await asks(served, {**ASK, "max_tokens": 20}, Idempotency_Key="k")
         assert again[2] == body and served.core.tally.taken == taken
         assert (await asks(served, ASK, Idempotency_Key="k"))[0] == 422
+
     play(scene, effect)
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -110,8 +110,9 @@
     assert (i.link.released == [i.link.out[0].name]) == (when != "streaming")
 
 
-@pytest.mark.parametrize("effect, final", [
-    (Effect.IDEMPOTENT, "rate-limited"), (Effect.NON_IDEMPOTENT, "aborted: given up")])
+@pytest.mark.parametrize(
+    "effect, final", [(Effect.IDEMPOTENT, "rate-limited"), (Effect.NON_IDEMPOTENT, "aborted: given up")]
+)
 def test_silence_ends_in_one_answer_before_the_client_timeout(
     instance: New, effect: Effect, final: str
 ) -> None:
@@ -153,6 +154,7 @@
         if (self if where == "risky" else args[0]) in victim:
             raise ZeroDivisionError("seeded")
         return true(self, *args)
+
     monkeypatch.setattr(owner, where, faulty)
     clients = [i.take()[0] for _ in range(2)]
     bad, taken = i.take()
--- a/tests/test_days.py
+++ b/tests/test_days.py
@@ -23,8 +23,12 @@
 
 def heathford(*arguments: str, timeout: float = 100.0) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(
-        [sys.executable, "-m", "heathford.cli.main", *arguments], cwd=ROOT, timeout=timeout,
-        capture_output=True, text=True)
+        [sys.executable, "-m", "heathford.cli.main", *arguments],
+        cwd=ROOT,
+        timeout=timeout,
+        capture_output=True,
+        text=True,
+    )
 
 
 @pytest.mark.parametrize("day, seconds", [("rack-restart", 10), ("drain-waves", 10)])
@@ -46,13 +50,26 @@
     assert "finished: 3 prompt tokens" in run.stdout
 
 
-@pytest.mark.parametrize("arguments, code, what", [
-    (["check", "deploy/local.star"], 0, "good"),
-    (["check", "days/quiet.star"], 2, "Variable `day` not found"),
-    (["front", "deploy/local.star", "--number", "9", "--registry", "x:1"], 2, "allowed are 0 to 1"),
-    (["complete", "--url", "ws://127.0.0.1:1/v1/sessions", "--timeout", "0.3", "x"], 1, "nothing was sent"),
-    (["complete", "--url", "ws://127.0.0.1:1/v1/sessions", "--url", "http://127.0.0.1:1", "x"], 2, "allowed"),
-    (["judge", "pyproject.toml"], 1, "pyproject.toml:1"), (["judge"], 2, "RECORDING")])
+@pytest.mark.parametrize(
+    "arguments, code, what",
+    [
+        (["check", "deploy/local.star"], 0, "good"),
+        (["check", "days/quiet.star"], 2, "Variable `day` not found"),
+        (["front", "deploy/local.star", "--number", "9", "--registry", "x:1"], 2, "allowed are 0 to 1"),
+        (
+            ["complete", "--url", "ws://127.0.0.1:1/v1/sessions", "--timeout", "0.3", "x"],
+            1,
+            "nothing was sent",
+        ),
+        (
+            ["complete", "--url", "ws://127.0.0.1:1/v1/sessions", "--url", "http://127.0.0.1:1", "x"],
+            2,
+            "allowed",
+        ),
+        (["judge", "pyproject.toml"], 1, "pyproject.toml:1"),
+        (["judge"], 2, "RECORDING"),
+    ],
+)
 def test_commands_say_what_is_wrong(arguments: list[str], code: int, what: str) -> None:
     run = heathford(*arguments)
     assert run.returncode == code and what in run.stdout + run.stderr
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -25,6 +25,7 @@
 @pytest.mark.parametrize("cut", [1, 60, -1], ids=["first byte", "in the head", "last byte"])
 def test_of_a_request_that_comes_in_pieces(tmp_path: Path, cut: int) -> None:
     """Seen before: it counted from the last byte, so a slow writer's engine was told too much."""
+
     async def day(play: Day) -> None:
         a, b = play.engines
         # One that may not be repeated: its decode engine is told all the time that is left.
@@ -37,6 +38,7 @@
         told = int((await b.asked()).header("X-Budget-Ms"))
         assert 0 < told <= BUDGET - 1000 * WAIT
         assert told <= most(begun)
+
     run_day(tmp_path, day)
 
 
@@ -52,6 +54,7 @@
         (await a.asked(2)).sock.sendall(READ)
         told = int((await b.asked(2)).header("X-Budget-Ms"))
         assert 0 < told <= min(BUDGET - 1000 * WAIT, most(begun))
+
     run_day(tmp_path, day)
 
 
@@ -67,6 +70,7 @@
         closed[0] = False
         told = int((await a.asked()).header("X-Budget-Ms"))
         assert 0 < told <= min(BUDGET - 1000 * WAIT, most(begun))
+
     run_day(tmp_path, day)
 
 
@@ -86,6 +90,7 @@
         engine = next(e for e in (a, other) if e.posts == (2 if e is first else 1))
         told = int((await engine.asked(engine.posts)).header("X-Budget-Ms"))
         assert 0 < told <= min(BUDGET - 1000 * (WAIT + 0.05), most(begun))
+
     run_day(tmp_path, day, prefill(), decode(), prefill("r2"))
 
 
@@ -97,4 +102,5 @@
         await asyncio.sleep(0.25)
         client.say(said[-1:])
         assert await client.until(1) == [503] and not a.posts
+
     run_day(tmp_path, day)
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -95,8 +95,10 @@
         self.plan(call, behaviour)
 
     def body(self, version: int, states: dict[str, str], complete: bool) -> bytes:
-        targets = [{"uid": uid, "endpoint": "127.0.0.1:9000", "az": "z", "model": "m", "state": state}
-                   for uid, state in states.items()]
+        targets = [
+            {"uid": uid, "endpoint": "127.0.0.1:9000", "az": "z", "model": "m", "state": state}
+            for uid, state in states.items()
+        ]
         said = {"rev": version, "all": complete, "targets": targets}
         return json.dumps(said, indent=self.indent).encode()
 
@@ -123,9 +125,9 @@
             case "silent":
                 pass
             case "head only":
-                self.send(call, 0.001, good[:good.index(b"\r\n\r\n") + 4])
+                self.send(call, 0.001, good[: good.index(b"\r\n\r\n") + 4])
             case "half":
-                part = answer[:len(answer) // 2] if is_list else HEAD + chunk(whole[:len(whole) // 2])
+                part = answer[: len(answer) // 2] if is_list else HEAD + chunk(whole[: len(whole) // 2])
                 self.send(call, 0.001, part)
             case "reset":
                 self.send(call, 0.001, good[:20])
@@ -143,7 +145,7 @@
                 self.send(call, 0.001, HEAD + chunk(old + b"\n") + (b"0\r\n\r\n" if is_list else b""))
             case "pieces":
                 for n, at in enumerate(range(0, len(answer), 7)):
-                    self.send(call, 0.01 * (n + 1), answer[at:at + 7])
+                    self.send(call, 0.01 * (n + 1), answer[at : at + 7])
             case _:
                 raise AssertionError(behaviour)
 
@@ -178,7 +180,16 @@
 
 
 FAILURES = [
-    "refused", "silent", "head only", "half", "reset", "trickle", "unreadable", "unavailable", "replayed"]
+    "refused",
+    "silent",
+    "head only",
+    "half",
+    "reset",
+    "trickle",
+    "unreadable",
+    "unavailable",
+    "replayed",
+]
 
 
 @pytest.mark.parametrize("second", [*FAILURES, "good"])
@@ -262,7 +273,7 @@
         if discovery.call and discovery.call.kind is CallKind.LIST and len(discovery.calls) > asked:
             asked = len(discovery.calls)
             for n in range(20):
-                discovery.send(discovery.call, 0.1 * n, answer[n * size:(n + 1) * size])
+                discovery.send(discovery.call, 0.1 * n, answer[n * size : (n + 1) * size])
         discovery.run(discovery.now + 0.01)
     assert discovery.acted["a", Health.ON] < LIST_WITHIN + 4.0
 
@@ -354,11 +365,15 @@
 OBJECTS = st.recursive(
     st.integers() | st.text(max_size=5) | st.sampled_from(['"', "\\", "{", "}", "\n", '\\"{']),
     lambda inner: st.dictionaries(st.text(max_size=3), inner, max_size=3) | st.lists(inner, max_size=3),
-    max_leaves=5)
+    max_leaves=5,
+)
 
 
-@given(st.lists(st.dictionaries(st.text(max_size=3), OBJECTS, max_size=3), max_size=4),
-       st.sampled_from([None, 1, 4]), st.lists(st.integers(0, 300), max_size=6))
+@given(
+    st.lists(st.dictionaries(st.text(max_size=3), OBJECTS, max_size=3), max_size=4),
+    st.sampled_from([None, 1, 4]),
+    st.lists(st.integers(0, 300), max_size=6),
+)
 def test_objects_are_the_same_however_the_bytes_are_split(
     objects: list[dict[str, object]], indent: int | None, cuts: list[int]
 ) -> None:
--- a/tests/test_drill.py
+++ b/tests/test_drill.py
@@ -11,15 +11,27 @@
 SECOND = 1_000_000_000
 INFO = {
     "categories": [{"objectiveNs": SECOND, "idempotency": "free", "name": "w", "stream": True}],
-    "familyInfo": {"memoryTokens": [200_000, 150_000], "roleByKind": ["read", "write"],
-                   "tokenAimNs": [50_000_000], "pinLimitNs": 300_000_000, "unknown": 1},
-    "policyLimits": {"tryLimit": 4, "cancel": True}, "myNumber": 0, "nInstances": 1,
-    "safety": {"warmAfterNs": SECOND, "coldFrom": 0.3, "tipMultiple": 2.5, "fallNs": SECOND}}
-ROWS = [{"engine": 7, "rackZone": 0, "model": 0, "bay": 0, "health": "on"},
-        {"engine": 8, "rackZone": 0, "model": 1, "bay": 0, "health": "on"}]
-START = [{"configure": {"who": 3, "rngSeed": 5, "bootInfo": INFO}},
-         {"defineList": {"list": 0, "rows": ROWS}},
-         {"fleet": {"who": 3, "scope": "restored", "index": 1, "list": 0}}]
+    "familyInfo": {
+        "memoryTokens": [200_000, 150_000],
+        "roleByKind": ["read", "write"],
+        "tokenAimNs": [50_000_000],
+        "pinLimitNs": 300_000_000,
+        "unknown": 1,
+    },
+    "policyLimits": {"tryLimit": 4, "cancel": True},
+    "myNumber": 0,
+    "nInstances": 1,
+    "safety": {"warmAfterNs": SECOND, "coldFrom": 0.3, "tipMultiple": 2.5, "fallNs": SECOND},
+}
+ROWS = [
+    {"engine": 7, "rackZone": 0, "model": 0, "bay": 0, "health": "on"},
+    {"engine": 8, "rackZone": 0, "model": 1, "bay": 0, "health": "on"},
+]
+START = [
+    {"configure": {"who": 3, "rngSeed": 5, "bootInfo": INFO}},
+    {"defineList": {"list": 0, "rows": ROWS}},
+    {"fleet": {"who": 3, "scope": "restored", "index": 1, "list": 0}},
+]
 JOB = {"jobIn": {"who": 3, "id": "a0", "conversation": "s", "dueNs": 9 * SECOND, "nPrompt": 4000}}
 
 
@@ -29,8 +41,13 @@
 
 def drill(lines: list[str]) -> "subprocess.CompletedProcess[str]":
     return subprocess.run(
-        [sys.executable, "-m", "heathford.drill"], input="\n".join(lines) + "\n", capture_output=True,
-        text=True, cwd=Path(__file__).parent.parent, timeout=30)
+        [sys.executable, "-m", "heathford.drill"],
+        input="\n".join(lines) + "\n",
+        capture_output=True,
+        text=True,
+        cwd=Path(__file__).parent.parent,
+        timeout=30,
+    )
 
 
 def names(reply: str) -> list[str]:
@@ -38,17 +55,48 @@
     return [f"{name} {fields.get('engine', '')}".strip() for name, fields in actions if name != "setAlarm"]
 
 
-@pytest.mark.parametrize("batches, replies", [
-    ([START, [JOB], [end("READ", 0)], [{"ackFirst": {"who": 3, "id": "a0", "seqNo": 1}}],
-      [end("delivered", 1, closed=True)], [end("delivered", 1, closed=True)]],
-     [[], ["relay 7"], ["relay 8"], [], [], []]),
-    ([START, [JOB], [{"dropped": {"who": 3, "id": "a0"}}], [end("READ", 0, closed=True)]],
-     [[], ["relay 7"], ["undoSend"], ["release"]]),
-    ([START, [JOB, {"stop": {"who": 3}}, *START], [end("READ", 0)], [{"alarm": {"who": 9, "keyBack": 1}}]],
-     [[], [], [], []]),
-    ([START, [{"defineList": {"list": 0, "rows": []}}, {"fleet": {"who": 3, "scope": "replace", "list": 0}},
-              {"defineList": {"list": 0, "rows": ROWS}}, {"fleet": {"who": 3, "scope": "update", "list": 0}}],
-      [JOB]], [[], [], ["relay 7"]])])
+@pytest.mark.parametrize(
+    "batches, replies",
+    [
+        (
+            [
+                START,
+                [JOB],
+                [end("READ", 0)],
+                [{"ackFirst": {"who": 3, "id": "a0", "seqNo": 1}}],
+                [end("delivered", 1, closed=True)],
+                [end("delivered", 1, closed=True)],
+            ],
+            [[], ["relay 7"], ["relay 8"], [], [], []],
+        ),
+        (
+            [START, [JOB], [{"dropped": {"who": 3, "id": "a0"}}], [end("READ", 0, closed=True)]],
+            [[], ["relay 7"], ["undoSend"], ["release"]],
+        ),
+        (
+            [
+                START,
+                [JOB, {"stop": {"who": 3}}, *START],
+                [end("READ", 0)],
+                [{"alarm": {"who": 9, "keyBack": 1}}],
+            ],
+            [[], [], [], []],
+        ),
+        (
+            [
+                START,
+                [
+                    {"defineList": {"list": 0, "rows": []}},
+                    {"fleet": {"who": 3, "scope": "replace", "list": 0}},
+                    {"defineList": {"list": 0, "rows": ROWS}},
+                    {"fleet": {"who": 3, "scope": "update", "list": 0}},
+                ],
+                [JOB],
+            ],
+            [[], [], ["relay 7"]],
+        ),
+    ],
+)
 def test_transcript(batches: list[list[dict[str, Any]]], replies: list[list[str]]) -> None:
     lines = [json.dumps({"clockNs": (i + 1) * SECOND // 10, "msgs": m}) for i, m in enumerate(batches)]
     run = drill(lines)
@@ -68,8 +116,9 @@
     assert "IndexError" in json.loads(run.stdout)["output"][0]["exception"]["text"]
 
 
-@pytest.mark.parametrize("wrong", [
-    {"model": 9}, {"health": "odd"}, {"engine": None, "health": []}, {"bootTimeNs": ""}])
+@pytest.mark.parametrize(
+    "wrong", [{"model": 9}, {"health": "odd"}, {"engine": None, "health": []}, {"bootTimeNs": ""}]
+)
 def test_an_entry_that_can_not_be_read_is_told_and_the_others_count(wrong: dict[str, Any]) -> None:
     rows = [{**ROWS[0], "engine": 9, **wrong}, *ROWS]
     batches = [[START[0], {"defineList": {"list": 0, "rows": rows}}, START[2]], [JOB]]
--- a/tests/test_engine_ages.py
+++ b/tests/test_engine_ages.py
@@ -14,8 +14,16 @@
 
 def entry(uid: str, started: float, model: str = "m0", state: str = "SERVING") -> dict[str, Any]:
     """started: s on the front's clock."""
-    return {"uid": uid, "endpoint": "127.0.0.1:9", "az": "a", "model": model, "pod_group": 0,
-            "state": state, "capacity_hint": 1.0, "boot_ms": int(1000 * (TRUE + started))}
+    return {
+        "uid": uid,
+        "endpoint": "127.0.0.1:9",
+        "az": "a",
+        "model": model,
+        "pod_group": 0,
+        "state": state,
+        "capacity_hint": 1.0,
+        "boot_ms": int(1000 * (TRUE + started)),
+    }
 
 
 def tell(
@@ -39,8 +47,20 @@
 def test_the_newest_engines_of_the_first_list_are_new_whatever_the_clock_says(ahead: float) -> None:
     """Half of a role and more are not doubted: nobody would be left to take its requests."""
     instances = Instances(KINDS, ["a"], warm_after=5.0)
-    tell(instances, 1, 100.0, ahead, entry("r1", 99.0), entry("r2", 96.0), entry("r3", 90.0),
-         entry("r4", 50.0), entry("r5", 20.0), entry("w1", 98.0, "m1"), entry("w2", 10.0, "m1"), listed=True)
+    tell(
+        instances,
+        1,
+        100.0,
+        ahead,
+        entry("r1", 99.0),
+        entry("r2", 96.0),
+        entry("r3", 90.0),
+        entry("r4", 50.0),
+        entry("r5", 20.0),
+        entry("w1", 98.0, "m1"),
+        entry("w2", 10.0, "m1"),
+        listed=True,
+    )
     started = {uid: row[6] for uid, row in instances.rows.items()}
     assert started["r1"] == pytest.approx(100.0, abs=1.1)
     assert started["r2"] == pytest.approx(97.0, abs=1.1)
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -24,10 +24,14 @@
 def test_the_order_in_which_they_make_way() -> None:
     queues = EvictionQueues[Connection]()
     for connection in (
-            Connection("silent", Idleness.SILENT, NOW - SPEAKS_WITHIN),
-            Connection("answered", Idleness.ANSWERED, NOW - 3), Connection("open", None, NOW - 50),
-            Connection("asking", Idleness.ASKING, NOW - 9), Connection("shut", Idleness.SHUT, NOW),
-            Connection("fresh", Idleness.SILENT, NOW), Connection("answered later", Idleness.ANSWERED, NOW)):
+        Connection("silent", Idleness.SILENT, NOW - SPEAKS_WITHIN),
+        Connection("answered", Idleness.ANSWERED, NOW - 3),
+        Connection("open", None, NOW - 50),
+        Connection("asking", Idleness.ASKING, NOW - 9),
+        Connection("shut", Idleness.SHUT, NOW),
+        Connection("fresh", Idleness.SILENT, NOW),
+        Connection("answered later", Idleness.ANSWERED, NOW),
+    ):
         queues.place(connection)
     assert names(queues) == ["shut", "silent", "answered", "answered later", "asking", "fresh"]
     assert len(queues) == 6
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -33,6 +33,7 @@
 
 def test_a_front_node_starts_once_its_address_is_free(tmp_path: Path) -> None:
     """As where the connection of another program has its port, or the system has no descriptor left."""
+
     async def day() -> None:
         with socket.create_server(("127.0.0.1", 0)) as other:
             listen = f"127.0.0.1:{other.getsockname()[1]}"
@@ -41,6 +42,7 @@
                 await process.stderr.readline()
                 other.close()
                 await until_said(process, b'"ready"')
+
     asyncio.run(day())
 
 
@@ -59,6 +61,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen before: the front node went on following a discovery that had ended, until the next SIGHUP."""
+
     async def day(play: Day) -> None:
         for half_written in (False, True):
             other = Agent()
@@ -77,4 +80,5 @@
             assert monotonic() - began < 2.0
             await other.until_watched()
             other.close()
+
     run_day(tmp_path, day)
--- a/tests/test_fairness_play.py
+++ b/tests/test_fairness_play.py
@@ -24,14 +24,16 @@
     "three classes": [
         Workload(1.2, 0.04, 0.06, Effect.IDEMPOTENT, Group.ALL, 0.0, 3.0),
         Workload(3.0, 0.04, 0.08, Effect.IDEMPOTENT, Group.ALL, 0.0, 3.0),
-        Workload(1.5, 0.04, 0.07, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 2.0)],
+        Workload(1.5, 0.04, 0.07, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 2.0),
+    ],
     "many classes": [
         Workload(0.5, 0.03, 0.04, Effect.IDEMPOTENT, Group.ALL, 0.0, 1.0),
         Workload(1.0, 0.04, 0.06, Effect.TOKENED, Group.ZONE, 1.2, 3.0),
         Workload(1.5, 0.04, 0.06, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 8.0),
         Workload(2.0, 0.05, 0.06, Effect.TOKENED, Group.CELL, 9.0, 2.0),
         Workload(12.0, 0.15, 0.12, Effect.IDEMPOTENT, Group.ALL, 0.0, 0.2),
-        Workload(4.0, 0.06, 0.08, Effect.TOKENED, Group.ALL, 3.0, 4.0)],
+        Workload(4.0, 0.06, 0.08, Effect.TOKENED, Group.ALL, 3.0, 4.0),
+    ],
     "one class": [Workload(0.8, 0.04, 0.06, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 1.0)],
 }
 
@@ -67,8 +69,17 @@
         self.asked[door] = Asked(place, session, prompt)
         target = self.classes[place].latency_target
         door.handle = node.router.take(
-            door, place, 0, session, text, prompt, min(prompt // 2, 500) if text else 0, 100, 0.0,
-            self.now + 4 * target)
+            door,
+            place,
+            0,
+            session,
+            text,
+            prompt,
+            min(prompt // 2, 500) if text else 0,
+            100,
+            0.0,
+            self.now + 4 * target,
+        )
         node.router.decide()
 
     def begin(self, door: RequestDoor, attempt: int, engine: int, timeout: float) -> None:
@@ -119,8 +130,8 @@
     for request_class, asked in played(load, layout, settings, seed).by_class().items():
         asked.sort(key=lambda one: -one.prompt)
         first = LARGEST_OF_FEW if len(asked) < FEW else LARGEST
-        largest = asked[:int(first * len(asked))]
-        following = asked[len(largest):int((first + NEXT) * len(asked))]
+        largest = asked[: int(first * len(asked))]
+        following = asked[len(largest) : int((first + NEXT) * len(asked))]
         for name, some in (("largest", largest), ("next", following)):
             assert share(some) >= part * share(asked), f"{name} of class {request_class}"
 
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -29,6 +29,7 @@
             raised.append(None)
             raise ValueError("a fault of our own")
         return method(*rest, **more)
+
     monkeypatch.setattr(owner, name, patched)
     return raised
 
@@ -79,9 +80,13 @@
     """The drain that stands behind it is acted on. Seen before: the list was left half taken."""
     i = instance()
     i.engines((1, 0), (2, 1))
-    i.core.list_changed(False, [
-        (endpoint(3, Role.READER), 0, 99, 1, Health.ON, 1.0, 0.0),  # a kind that nobody knows
-        (endpoint(1, Role.READER), 0, 0, 1, Health.DRAINING, 1.0, 0.0)])
+    i.core.list_changed(
+        False,
+        [
+            (endpoint(3, Role.READER), 0, 99, 1, Health.ON, 1.0, 0.0),  # a kind that nobody knows
+            (endpoint(1, Role.READER), 0, 0, 1, Health.DRAINING, 1.0, 0.0),
+        ],
+    )
     i.loop.turn()
     assert i.core.tally.faults == 1 and i.core.router.engines[1].health is Health.DRAINING
     i.take()
@@ -127,11 +132,13 @@
             assert await client.until(1) == [502]
         await play.answer(other, "c1")
         assert raised
+
     run_day(tmp_path, day)
 
 
-@pytest.mark.parametrize("owner, name", [
-    (RequestReader, "feed"), (ClientConnection, "take")], ids=["parser", "hand-over"])
+@pytest.mark.parametrize(
+    "owner, name", [(RequestReader, "feed"), (ClientConnection, "take")], ids=["parser", "hand-over"]
+)
 def test_a_fault_on_the_way_in_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str
 ) -> None:
@@ -144,6 +151,7 @@
         assert await client.until(1) == [500]
         await play.answer(other, "c1")
         assert raised and a.posts == 1
+
     run_day(tmp_path, day)
 
 
@@ -160,4 +168,5 @@
             await turns()
             first.look(), second.look()
             assert first.ended + second.ended == 1
+
     asyncio.run(day())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -6,7 +6,17 @@
 from conftest import Instance
 
 from heathford.core.gate import (
-    TRANSITIONS, Attempt, Event, Gate, Place, Reason, RequestLife, Rule, Stage, Target)
+    TRANSITIONS,
+    Attempt,
+    Event,
+    Gate,
+    Place,
+    Reason,
+    RequestLife,
+    Rule,
+    Stage,
+    Target,
+)
 from heathford.interface import HELD_UP, NEVER_RAN, Effect, Group, Health, Verdict, Workload
 
 HERE = Place(Health.ON, zone=0, cell=0)
@@ -30,9 +40,7 @@
 
 
 @pytest.mark.parametrize("stage, event", list(product(Stage, Event)))
-def test_each_step_is_taken_or_counted(
-    stage: Stage, event: Event, no_violations: list[str]
-) -> None:
+def test_each_step_is_taken_or_counted(stage: Stage, event: Event, no_violations: list[str]) -> None:
     watched, life = Watched(), life_of()
     life.stage = stage
     allowed = watched.gate.step(life, event)
@@ -56,9 +64,15 @@
     assert reason is (Reason.ALLOWED if stage is Stage.WAITING else Reason.OVER)
 
 
-@pytest.mark.parametrize("health, waits, reason", [
-    (Health.ON, True, Reason.ALLOWED), (Health.ON, False, Reason.CLIENT_GONE),
-    (Health.DRAINING, True, Reason.ENGINE_LEAVES), (Health.GONE, True, Reason.ENGINE_LEAVES)])
+@pytest.mark.parametrize(
+    "health, waits, reason",
+    [
+        (Health.ON, True, Reason.ALLOWED),
+        (Health.ON, False, Reason.CLIENT_GONE),
+        (Health.DRAINING, True, Reason.ENGINE_LEAVES),
+        (Health.GONE, True, Reason.ENGINE_LEAVES),
+    ],
+)
 def test_the_engine_and_the_client_are_asked_at_the_last_moment(
     health: Health, waits: bool, reason: Reason
 ) -> None:
@@ -76,8 +90,7 @@
 ) -> None:
     watched, life = Watched(), life_of(effect)
     life.attempts = [Attempt(HERE, False, 0.0, verdict), Attempt(HERE, False, 0.1)]
-    never_ran = verdict in (
-        Verdict.FULL, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.READ, Verdict.CROWDED)
+    never_ran = verdict in (Verdict.FULL, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.READ, Verdict.CROWDED)
     allowed = never_ran or effect is not Effect.NON_IDEMPOTENT
     reason = watched.gate.may_send(life, life.attempts[1], HERE, True, 0.2)
     assert reason is (Reason.ALLOWED if allowed else Reason.MAY_HAVE_RUN)
@@ -96,9 +109,14 @@
     no_violations.clear()
 
 
-@pytest.mark.parametrize("now, reason", [
-    (WINDOW - HELD_UP - 0.01, Reason.ALLOWED), (WINDOW - HELD_UP, Reason.WINDOW_OVER),
-    (WINDOW, Reason.WINDOW_OVER)])
+@pytest.mark.parametrize(
+    "now, reason",
+    [
+        (WINDOW - HELD_UP - 0.01, Reason.ALLOWED),
+        (WINDOW - HELD_UP, Reason.WINDOW_OVER),
+        (WINDOW, Reason.WINDOW_OVER),
+    ],
+)
 def test_the_window_allows_for_a_hold_up(now: float, reason: Reason) -> None:
     watched, life = Watched(), life_of(Effect.TOKENED)
     life.attempts = [Attempt(HERE, False, 0.0, Verdict.BROKEN), Attempt(HERE, False, 0.1)]
@@ -120,11 +138,18 @@
     no_violations.clear()
 
 
-@pytest.mark.parametrize("group, target, reason", [
-    (Group.ALL, ELSEWHERE, Reason.ALLOWED), (Group.ZONE, SAME_ZONE, Reason.ALLOWED),
-    (Group.ZONE, ELSEWHERE, Reason.OUTSIDE_GROUP), (Group.CELL, HERE, Reason.ALLOWED),
-    (Group.CELL, SAME_ZONE, Reason.OUTSIDE_GROUP), (Group.ZONE, NO_CELLS, Reason.OUTSIDE_GROUP),
-    (Group.CELL, NO_CELLS, Reason.OUTSIDE_GROUP)])
+@pytest.mark.parametrize(
+    "group, target, reason",
+    [
+        (Group.ALL, ELSEWHERE, Reason.ALLOWED),
+        (Group.ZONE, SAME_ZONE, Reason.ALLOWED),
+        (Group.ZONE, ELSEWHERE, Reason.OUTSIDE_GROUP),
+        (Group.CELL, HERE, Reason.ALLOWED),
+        (Group.CELL, SAME_ZONE, Reason.OUTSIDE_GROUP),
+        (Group.ZONE, NO_CELLS, Reason.OUTSIDE_GROUP),
+        (Group.CELL, NO_CELLS, Reason.OUTSIDE_GROUP),
+    ],
+)
 def test_a_repeat_stays_in_its_group(
     group: Group, target: Target, reason: Reason, no_violations: list[str]
 ) -> None:
@@ -134,17 +159,25 @@
     no_violations.clear()
 
 
-@pytest.mark.parametrize("owed, half, unread, reason", [
-    (True, False, False, Reason.ANSWER_OWED), (False, True, False, Reason.ANSWER_OWED),
-    (False, False, True, Reason.UNREAD), (False, False, False, Reason.ALLOWED)])
+@pytest.mark.parametrize(
+    "owed, half, unread, reason",
+    [
+        (True, False, False, Reason.ANSWER_OWED),
+        (False, True, False, Reason.ANSWER_OWED),
+        (False, False, True, Reason.UNREAD),
+        (False, False, False, Reason.ALLOWED),
+    ],
+)
 def test_a_connection_is_closed_only_where_nothing_is_owed(
     owed: bool, half: bool, unread: bool, reason: Reason
 ) -> None:
     assert Watched().gate.may_close(owed, half, unread) is reason
 
 
-@pytest.mark.parametrize("kept, read_at, reason", [
-    (True, 0.9, Reason.ALLOWED), (True, 1.0, Reason.ENDING), (False, 0.9, Reason.TOO_MUCH)])
+@pytest.mark.parametrize(
+    "kept, read_at, reason",
+    [(True, 0.9, Reason.ALLOWED), (True, 1.0, Reason.ENDING), (False, 0.9, Reason.TOO_MUCH)],
+)
 def test_new_work_starts_only_before_the_end(kept: bool, read_at: float, reason: Reason) -> None:
     assert Watched().gate.may_start(kept, read_at, 1.0) is reason
 
@@ -174,6 +207,12 @@
     i.link.out[-1].events.ended(Verdict.FINISHED, 0, {}, {})
     i.loop.turn()
     assert [(r.event, r.attempt, r.engine) for r in i.core.history.of("cmpl-f-1")] == [
-        ("taken", -1, ""), ("handed over", 0, "e10"), ("ended", 0, "e10"), ("handed over", 1, "e12"),
-        ("first event", 1, "e12"), ("ended", 1, "e12"), ("finished", -1, "")]
+        ("taken", -1, ""),
+        ("handed over", 0, "e10"),
+        ("ended", 0, "e10"),
+        ("handed over", 1, "e12"),
+        ("first event", 1, "e12"),
+        ("ended", 1, "e12"),
+        ("finished", -1, ""),
+    ]
     assert i.core.history.reasons["ended", "read"] == 1
--- a/tests/test_held_check.py
+++ b/tests/test_held_check.py
@@ -17,6 +17,7 @@
     tmp_path: Path, no_violations: list[str]
 ) -> None:
     """Guards against a rule told as broken that was kept: a call counts once a running engine has it."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -31,4 +32,5 @@
         answering.cancel()
         no_violations.clear()  # told below, not once more as the test ends
         assert play.node.core.gate.violations[Rule.HELD] == 0
+
     run_day(tmp_path, day, prefill(), decode())
--- a/tests/test_held_state_processes.py
+++ b/tests/test_held_state_processes.py
@@ -97,6 +97,7 @@
 def test_a_state_behind_silent_decode_engines_is_released_in_time(tmp_path: Path) -> None:
     """Three decode engines fall silent at once, one with a full accept queue; requests of both effects are on
     their way there."""
+
     async def day() -> None:
         prefill = Prefill("r")
         scripts = (NEVER_ACCEPTS, FULL_QUEUE, SWALLOWS)
@@ -110,6 +111,7 @@
             await until_released(prefill, names)
         held = {name: prefill.released_at[name] - prefill.read_at[name] for name in names}
         assert max(held.values()) <= LIMIT + ALLOWANCE, held
+
     asyncio.run(day())
 
 
@@ -118,6 +120,7 @@
     tmp_path: Path, request_class: str
 ) -> None:
     """Prefill's engine stops right after its answer, and all decode engines are stopped."""
+
     async def day() -> None:
         holder, other = EngineProcess("r0", "m0", READS_AND_STOPS), Prefill("r1")
         silent = [EngineProcess(f"w{number}", "m1", NEVER_ACCEPTS) for number in range(3)]
@@ -132,11 +135,13 @@
             await until_released(other, ["c0"])
             other.close()
         assert other.released_at["c0"] - read_at <= LIMIT + ALLOWANCE
+
     asyncio.run(day())
 
 
 def test_what_waits_behind_a_stopped_engine_is_read_anew_by_others(tmp_path: Path) -> None:
     """Two of three decode engines are stopped: what may be repeated is served well within its time."""
+
     async def day() -> None:
         prefill, decode = Prefill("r"), ScriptedEngine("w9", "m1", False)
         silent = [EngineProcess(f"w{number}", "m1", NEVER_ACCEPTS) for number in range(2)]
@@ -149,12 +154,14 @@
                     reader = await made.ask(f"c{number}", "chat")
                     assert b"data: [DONE]" in await reader.readuntil(b"0\r\n\r\n")
         assert monotonic() - began < 4.0
+
     asyncio.run(day())
 
 
 def test_the_history_of_a_request_is_written_on_sigusr1(tmp_path: Path) -> None:
     """Guards against a history that can't be read when it is needed: the signal ended in an exception that
     nobody heard of."""
+
     async def day() -> None:
         prefill, decode = Prefill("r"), ScriptedEngine("w", "m1", False)
         async with fleet(tmp_path, prefill, decode) as made:
@@ -169,6 +176,7 @@
             lines = map(orjson.loads, log.read_bytes().splitlines())
             told = [line["what"] for line in lines if line.get("request") == "chat0"]
         assert [what for what in ("taken", "sent", "first event", "finished") if what not in told] == []
+
     asyncio.run(day())
 
 
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -39,8 +39,12 @@
     release.asked("e12")
     release.confirmed("e12")
     assert [line for line in i.core.history.told(name) if line.startswith("release")] == [
-        "release: the policy lets it go", "release asked", "release unanswered: no answer", "release asked",
-        "release confirmed"]
+        "release: the policy lets it go",
+        "release asked",
+        "release unanswered: no answer",
+        "release asked",
+        "release confirmed",
+    ]
     assert [r.engine for r in i.core.history.of(name) if r.event == "release confirmed"] == ["e12"]
     held = i.core.told_of_held()
     assert (held["open"], held["released"]) == (0, 1)
@@ -59,7 +63,7 @@
 
 
 def test_the_state_line_tells_how_long_a_state_is_held_and_how_that_ends(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     i, _ = read(instance)
     i.loop.pass_time(0.1)
--- a/tests/test_idempotency_key.py
+++ b/tests/test_idempotency_key.py
@@ -25,6 +25,7 @@
     """Prefill, decode, and the decode again after one that was turned away.
 
     Seen on a deployment of our own: "request 7cf48bc7 is not as its client sent it (idempotency key)"."""
+
     async def day(play: Day) -> None:
         a, b, other = play.engines
         client = play.client()
@@ -45,6 +46,7 @@
         engine = next(e for e, n in ((a, 2), (first, 2), (second, 1)) if e.posts == n)
         assert (await engine.asked(engine.posts)).header("Idempotency-Key") == KEY
         releases.cancel()
+
     run_day(tmp_path, day, prefill(), decode(), decode("w2"), setting=keyed)
 
 
@@ -55,17 +57,24 @@
         held = await play.decoding(client)
         held.sock.sendall(GOOD)
         assert b"idempotency" not in held.look().lower()
+
     run_day(tmp_path, day)
 
 
-@pytest.mark.parametrize("line", [
-    "Idempotency-Key: one\r\nIdempotency-Key: two", "Idempotency-Key: " + 300 * "k",
-    "Idempotency-Key: k\xe9"],
-    ids=["twice", "too long", "no ASCII"])
+@pytest.mark.parametrize(
+    "line",
+    [
+        "Idempotency-Key: one\r\nIdempotency-Key: two",
+        "Idempotency-Key: " + 300 * "k",
+        "Idempotency-Key: k\xe9",
+    ],
+    ids=["twice", "too long", "no ASCII"],
+)
 def test_a_key_that_can_not_be_read_is_refused(tmp_path: Path, line: str) -> None:
     async def day(play: Day) -> None:
         a, b = play.engines
         client = play.client()
         client.say(with_header("c0", line))
         assert await client.until(1) == [400] and not a.posts
+
     run_day(tmp_path, day, setting=keyed)
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -14,8 +14,17 @@
 
 
 def entry(uid: str, **more: Any) -> dict[str, Any]:
-    return {"uid": uid, "endpoint": "127.0.0.1:9000", "az": "b", "model": "m1", "pod_group": 3,
-            "state": "SERVING", "capacity_hint": 1.5, "boot_ms": 0, **more}
+    return {
+        "uid": uid,
+        "endpoint": "127.0.0.1:9000",
+        "az": "b",
+        "model": "m1",
+        "pod_group": 3,
+        "state": "SERVING",
+        "capacity_hint": 1.5,
+        "boot_ms": 0,
+        **more,
+    }
 
 
 def said(version: Any, complete: Any, *entries: Any) -> bytes:
@@ -32,37 +41,76 @@
     assert found and found[0]
     endpoint, *rest = found[1][0]
     assert (endpoint.name, endpoint.address, endpoint.port, endpoint.role) == (
-        "s", "127.0.0.1", 9000, Role.WRITER)
+        "s",
+        "127.0.0.1",
+        9000,
+        Role.WRITER,
+    )
     assert rest == [1, 1, 3, Health.ON, 1.5, 40.0]
 
 
-@pytest.mark.parametrize("lines, told", [
-    ([said(1, True, entry("a"), entry("b")), said(2, False, entry("a", state="DRAINING"))],
-     [(True, [("a", Health.ON), ("b", Health.ON)]), (False, [("a", Health.DRAINING)])]),
-    ([said(2, False, entry("a", state="DELETED")), said(1, True, entry("a"))],
-     [(False, [("a", Health.GONE)]), None]),
-    ([said(2, True, entry("a")), said(2, True, entry("a"))],
-     [(True, [("a", Health.ON)]), (True, [("a", Health.ON)])]),
-    # One that can't be read is passed over, and what was known of it is not taken for gone.
-    ([said(1, True, entry("a"), entry("b", model="m9"))], [(True, [("a", Health.ON)])]),
-    ([said(1, True, entry("a")), said(2, True, entry("a", az="new"))],
-     [(True, [("a", Health.ON)]), (True, [("a", Health.ON)])]),
-    # Its drain is kept all the same, and so is the end of another beside it.
-    ([said(1, True, entry("a"), entry("b")), said(2, True, entry("a", model=7, state="DRAINING"))],
-     [(True, [("a", Health.ON), ("b", Health.ON)]), (True, [("a", Health.DRAINING)])]),
-    ([said(1, True, entry("a", endpoint=None), entry("b", state="ODD"), 7)], [(False, [])]),
-    ([said(1, True, entry("a"), entry("b")), said(2, True, {**entry("a"), "uid": 3})],
-     [(True, [("a", Health.ON), ("b", Health.ON)]), (False, [])])])
+@pytest.mark.parametrize(
+    "lines, told",
+    [
+        (
+            [said(1, True, entry("a"), entry("b")), said(2, False, entry("a", state="DRAINING"))],
+            [(True, [("a", Health.ON), ("b", Health.ON)]), (False, [("a", Health.DRAINING)])],
+        ),
+        (
+            [said(2, False, entry("a", state="DELETED")), said(1, True, entry("a"))],
+            [(False, [("a", Health.GONE)]), None],
+        ),
+        (
+            [said(2, True, entry("a")), said(2, True, entry("a"))],
+            [(True, [("a", Health.ON)]), (True, [("a", Health.ON)])],
+        ),
+        # One that can't be read is passed over, and what was known of it is not taken for gone.
+        ([said(1, True, entry("a"), entry("b", model="m9"))], [(True, [("a", Health.ON)])]),
+        (
+            [said(1, True, entry("a")), said(2, True, entry("a", az="new"))],
+            [(True, [("a", Health.ON)]), (True, [("a", Health.ON)])],
+        ),
+        # Its drain is kept all the same, and so is the end of another beside it.
+        (
+            [said(1, True, entry("a"), entry("b")), said(2, True, entry("a", model=7, state="DRAINING"))],
+            [(True, [("a", Health.ON), ("b", Health.ON)]), (True, [("a", Health.DRAINING)])],
+        ),
+        ([said(1, True, entry("a", endpoint=None), entry("b", state="ODD"), 7)], [(False, [])]),
+        (
+            [said(1, True, entry("a"), entry("b")), said(2, True, {**entry("a"), "uid": 3})],
+            [(True, [("a", Health.ON), ("b", Health.ON)]), (False, [])],
+        ),
+    ],
+)
 def test_lines_in_turn(lines: list[bytes], told: list[Any]) -> None:
     instances = Instances(KINDS, ["a", "b"])
     assert [brief(instances.told(line, 50.0, 1000.0)) for line in lines] == told
 
 
-@pytest.mark.parametrize("wrong", [
-    {"uid": 7}, {"uid": None}, {"uid": ["s"]}, {"endpoint": "127.0.0.1"}, {"endpoint": "127.0.0.1:0"},
-    {"endpoint": ":9000"}, {"endpoint": "127.0.0.1:70000"}, {"endpoint": 9}, {"az": "c"}, {"az": ["a"]},
-    {"model": None}, {"model": {}}, {"state": "ODD"}, {"state": 1}, {"boot_ms": "soon"}, {"boot_ms": [9]},
-    {"capacity_hint": "much"}, {"capacity_hint": "nan"}, {"pod_group": "x"}])
+@pytest.mark.parametrize(
+    "wrong",
+    [
+        {"uid": 7},
+        {"uid": None},
+        {"uid": ["s"]},
+        {"endpoint": "127.0.0.1"},
+        {"endpoint": "127.0.0.1:0"},
+        {"endpoint": ":9000"},
+        {"endpoint": "127.0.0.1:70000"},
+        {"endpoint": 9},
+        {"az": "c"},
+        {"az": ["a"]},
+        {"model": None},
+        {"model": {}},
+        {"state": "ODD"},
+        {"state": 1},
+        {"boot_ms": "soon"},
+        {"boot_ms": [9]},
+        {"capacity_hint": "much"},
+        {"capacity_hint": "nan"},
+        {"pod_group": "x"},
+    ],
+)
 def test_an_entry_that_can_not_be_read_is_told_and_the_others_count(wrong: dict[str, Any]) -> None:
     """Seen: a uid that is no text raised out of the watch, which then followed discovery no more."""
     instances = Instances(KINDS, ["a", "b"])
@@ -70,11 +118,13 @@
     assert brief(found) == (False, [("t", Health.ON)]) and len(instances.passed) == 1
 
 
-@pytest.mark.parametrize("without", [{"az": ""}, {"az": None}, {"pod_group": None}, {"capacity_hint": None},
-                                     {"boot_ms": None}])
+@pytest.mark.parametrize(
+    "without", [{"az": ""}, {"az": None}, {"pod_group": None}, {"capacity_hint": None}, {"boot_ms": None}]
+)
 def test_a_layout_without_zones_cells_weights_or_starts_is_read(without: dict[str, Any]) -> None:
     found = Instances(KINDS, [] if "az" in without else ["a", "b"]).told(
-        said(1, True, entry("s", **without)), 50.0, 1000.0)
+        said(1, True, entry("s", **without)), 50.0, 1000.0
+    )
     assert found and found[0] and found[1][0][1] == (0 if "az" in without else 1)
 
 
@@ -103,6 +153,7 @@
         found = instances.told(said(1, False, entry("s", **more)), 50.0, wall)
         assert found
         return found[1][0][6], found[1][0][0].port
+
     assert started(1000.0, boot_ms=990_000) == (40.0, 9000)
     assert started(2000.0, boot_ms=990_000) == (40.0, 9000)  # a clock that is set makes nothing old
     assert started(1000.0, boot_ms=995_000, endpoint="127.0.0.1:9001") == (45.0, 9001)
@@ -162,8 +213,17 @@
     wall = 1_700_000_000.0
 
     def entry(uid: str, age: float, now: float) -> dict[str, Any]:
-        return {"uid": uid, "endpoint": "127.0.0.1:9", "az": "a", "model": "m0", "pod_group": 0,
-                "state": "SERVING", "capacity_hint": 1.0, "boot_ms": int(1000 * (wall + now - 100.0 - age))}
+        return {
+            "uid": uid,
+            "endpoint": "127.0.0.1:9",
+            "az": "a",
+            "model": "m0",
+            "pod_group": 0,
+            "state": "SERVING",
+            "capacity_hint": 1.0,
+            "boot_ms": int(1000 * (wall + now - 100.0 - age)),
+        }
+
     instances.told_object({"rev": 1, "all": True, "targets": [entry("old", 500.0, 100.0)]}, 100.0, wall)
     change = {"rev": 2, "all": False, "targets": [entry("new", 0.2, 110.0), entry("late", 60.0, 110.0)]}
     instances.told_object(change, 110.0, wall + 10.0 + step)
@@ -177,8 +237,18 @@
     """The wall clock was an hour behind when the process started."""
     instances = Instances({"m0": (0, Role.READER)}, ["a"])
     true = 1_700_000_000.0
-    entries = [{"uid": uid, "endpoint": "127.0.0.1:9", "az": "a", "model": "m0", "pod_group": 0,
-                "state": "SERVING", "capacity_hint": 1.0, "boot_ms": int(1000 * (true - age))}
-               for uid, age in (("warm", 60.0), ("new", 0.0), ("odd", -1e9))]
+    entries = [
+        {
+            "uid": uid,
+            "endpoint": "127.0.0.1:9",
+            "az": "a",
+            "model": "m0",
+            "pod_group": 0,
+            "state": "SERVING",
+            "capacity_hint": 1.0,
+            "boot_ms": int(1000 * (true - age)),
+        }
+        for uid, age in (("warm", 60.0), ("new", 0.0), ("odd", -1e9))
+    ]
     instances.told_object({"rev": 1, "all": True, "targets": entries}, 100.0, true - 3_600.0)
     assert instances.rows["warm"][6] == pytest.approx(40.0, abs=0.01)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -28,19 +28,30 @@
     return project.runpytest_inprocess("-p", "no:cacheprovider", *options)
 
 
-@pytest.mark.parametrize("text, entries", [
-    ("", []), ("\n# a remark\n", []),
-    ("a.py::t | it loops | issue 3\n", [KnownFailure("a.py::t", "it loops", "issue 3")])])
+@pytest.mark.parametrize(
+    "text, entries",
+    [
+        ("", []),
+        ("\n# a remark\n", []),
+        ("a.py::t | it loops | issue 3\n", [KnownFailure("a.py::t", "it loops", "issue 3")]),
+    ],
+)
 def test_entries_are_read(text: str, entries: list[KnownFailure]) -> None:
     assert parse(text) == entries
 
 
-@pytest.mark.parametrize("text, why", [
-    ("a.py::t | cause", "KNOWN-RED.txt:1"), ("a.py::t | | issue 3", "KNOWN-RED.txt:1"),
-    (" | cause | issue 3", "KNOWN-RED.txt:1"), ("# x\na.py::t | cause | ", "KNOWN-RED.txt:2"),
-    ("a.py::t | c | i | more", "KNOWN-RED.txt:1"),
-    ("".join(f"a.py::t{n} | c | i\n" for n in range(4)), "4 entries"),
-    ("a.py::t | c | i\na.py::t | d | j\n", "twice")])
+@pytest.mark.parametrize(
+    "text, why",
+    [
+        ("a.py::t | cause", "KNOWN-RED.txt:1"),
+        ("a.py::t | | issue 3", "KNOWN-RED.txt:1"),
+        (" | cause | issue 3", "KNOWN-RED.txt:1"),
+        ("# x\na.py::t | cause | ", "KNOWN-RED.txt:2"),
+        ("a.py::t | c | i | more", "KNOWN-RED.txt:1"),
+        ("".join(f"a.py::t{n} | c | i\n" for n in range(4)), "4 entries"),
+        ("a.py::t | c | i\na.py::t | d | j\n", "twice"),
+    ],
+)
 def test_a_file_that_breaks_its_rules_is_refused(text: str, why: str) -> None:
     with pytest.raises(KnownRedError, match=why):
         parse(text)
@@ -64,10 +75,17 @@
     assert result.ret == 1
 
 
-@pytest.mark.parametrize("known", [
-    "test_it.py::test_gone | c | issue 3\n", "gone.py::test_fails | c | issue 3\n", f"{FAILS} | c\n",
-    f"{FAILS}[2] | c | issue 3\n", "test_it.py | c | issue 3\n",
-    "".join(f"{FAILS}{n} | c | i\n" for n in range(4))])
+@pytest.mark.parametrize(
+    "known",
+    [
+        "test_it.py::test_gone | c | issue 3\n",
+        "gone.py::test_fails | c | issue 3\n",
+        f"{FAILS} | c\n",
+        f"{FAILS}[2] | c | issue 3\n",
+        "test_it.py | c | issue 3\n",
+        "".join(f"{FAILS}{n} | c | i\n" for n in range(4)),
+    ],
+)
 def test_a_run_with_a_refused_file_ends_as_an_error(project: pytest.Pytester, known: str) -> None:
     result = run(project, known)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -26,6 +26,7 @@
                 self.waiting += 1
                 await self.opened.wait()
             return await connect(made, host, to, **more)
+
         monkeypatch.setattr(loop, "create_connection", later)
 
 
@@ -51,4 +52,5 @@
         assert engine.posts == 0
         other = play.engines[place + 2]
         (await other.asked()).sock.sendall(GOOD if place else READ)
+
     run_day(tmp_path, day, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9)
--- a/tests/test_late_prefill.py
+++ b/tests/test_late_prefill.py
@@ -57,11 +57,13 @@
         assert reader.deletes + writer.deletes == before
         for task in (answering, back):
             task.cancel()
+
     run_day(tmp_path, day)
 
 
-@pytest.mark.parametrize("answered_at, releases", [
-    (1, [0.1, 0.5, 1.0, None]), (3, [0.1, 0.35, 0.1, 0.5, 1.0, None])])
+@pytest.mark.parametrize(
+    "answered_at, releases", [(1, [0.1, 0.5, 1.0, None]), (3, [0.1, 0.35, 0.1, 0.5, 1.0, None])]
+)
 def test_releases_follow_the_answer_of_the_engine_itself(
     answered_at: int, releases: list[float | None]
 ) -> None:
