--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -86,14 +86,16 @@
             pass
         if self.then.startswith("reset"):
             writer.get_extra_info("socket").setsockopt(
-                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+                socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
+            )
         writer.close()
         self.closed.set()
 
 
 def link(**figures: Any) -> EngineLink:
-    values: dict[str, Any] = dict(connect_timeout=0.5, connections=8, idle=5.0, stream_silence=0.15,
-                                  longest_line=2000, pin_limit=0.3)
+    values: dict[str, Any] = dict(
+        connect_timeout=0.5, connections=8, idle=5.0, stream_silence=0.15, longest_line=2000, pin_limit=0.3
+    )
     return EngineLink(**(values | figures))
 
 
@@ -109,7 +111,8 @@
             await server.wait_closed()
         the_link = link()
         call = the_link.send(
-            Endpoint(1, "e", role, "127.0.0.1", port), "c.0", {"prompt": "x"}, None, "", timeout, seen)
+            Endpoint(1, "e", role, "127.0.0.1", port), "c.0", {"prompt": "x"}, None, "", timeout, seen
+        )
         if cancel:
             await seen.begun.wait()
             call.cancel()
@@ -118,47 +121,53 @@
         the_link.stop()
         server.close()
         return seen
+
     return asyncio.run(run())
 
 
 GOOD = HEAD + chunked(TOKEN, TOKEN, LAST, DONE, trailer=LOAD)
-READ = (b'{"usage":{"prompt_tokens_details":{"cached_tokens":7}},'
-        b'"kv_transfer_params":{"remote_request_id":"c.0"}}')
-
-
-@pytest.mark.parametrize("says, then, verdict, detail", [
-    (GOOD, "close", Verdict.FINISHED, 4),
-    (GOOD, "keep", Verdict.FINISHED, 4),
-    (b"", "refuse", Verdict.UNREACHABLE, 0),
-    (b"", "reset before", Verdict.BROKEN, 0),
-    (b"", "reset", Verdict.BROKEN, 0),
-    (b"", "close", Verdict.BROKEN, 0),
-    (b"HTTP/1.1 2", "reset", Verdict.BROKEN, 0),
-    (HEAD, "close", Verdict.BROKEN, 0),
-    (HEAD + b"60\r\ndata: {", "close", Verdict.BROKEN, 0),
-    (HEAD + chunked(TOKEN)[:-5], "reset", Verdict.BROKEN, 0),
-    (b"", "silence", Verdict.TIMED_OUT, 0),
-    (HEAD, "silence", Verdict.TIMED_OUT, 0),
-    (HEAD + chunked(TOKEN)[:-5], "silence", Verdict.TIMED_OUT, 0),
-    (HEAD + chunked(TOKEN), "keep", Verdict.ERROR, 0),
-    (HEAD + chunked(), "keep", Verdict.ERROR, 0),
-    (HEAD + b"zz\r\n", "silence", Verdict.ERROR, 0),
-    (HEAD + b"2\r\nabc\r\n", "silence", Verdict.ERROR, 0),
-    (HEAD + chunked(b"data: {\n\n"), "keep", Verdict.ERROR, 0),
-    (HEAD + chunked(b'data: {"error":"x"}\n\n'), "keep", Verdict.ERROR, 0),
-    (HEAD + chunked(b'data: {"choices":[{"text":7}]}\n\n'), "keep", Verdict.ERROR, 0),
-    (HEAD + b"9000\r\n" + b"x" * 3000, "silence", Verdict.ERROR, 0),
-    (GOOD + b"more", "silence", Verdict.ERROR, 0),
-    (b"SSH-2.0-x\r\n", "silence", Verdict.ERROR, 0),
-    (b"HTTP/1.1 abc X\r\n\r\n", "silence", Verdict.ERROR, 0),
-    (b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "silence", Verdict.ERROR, 0),
-    (b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 500, "silence", Verdict.ERROR, 0),
-    (b"HTTP/1.1 100 Continue\r\n\r\n" + GOOD, "keep", Verdict.FINISHED, 4),
-    (whole(500, b"oops"), "keep", Verdict.ERROR, 0),
-    (whole(503, b"", b"Retry-After: 1\r\n"), "keep", Verdict.FULL, 0),
-    (whole(410, b'{"error":{"code":"kv_state_gone"}}'), "keep", Verdict.FULL, 1),
-    (whole(410, b"[]"), "keep", Verdict.ERROR, 0),
-])
+READ = (
+    b'{"usage":{"prompt_tokens_details":{"cached_tokens":7}},'
+    b'"kv_transfer_params":{"remote_request_id":"c.0"}}'
+)
+
+
+@pytest.mark.parametrize(
+    "says, then, verdict, detail",
+    [
+        (GOOD, "close", Verdict.FINISHED, 4),
+        (GOOD, "keep", Verdict.FINISHED, 4),
+        (b"", "refuse", Verdict.UNREACHABLE, 0),
+        (b"", "reset before", Verdict.BROKEN, 0),
+        (b"", "reset", Verdict.BROKEN, 0),
+        (b"", "close", Verdict.BROKEN, 0),
+        (b"HTTP/1.1 2", "reset", Verdict.BROKEN, 0),
+        (HEAD, "close", Verdict.BROKEN, 0),
+        (HEAD + b"60\r\ndata: {", "close", Verdict.BROKEN, 0),
+        (HEAD + chunked(TOKEN)[:-5], "reset", Verdict.BROKEN, 0),
+        (b"", "silence", Verdict.TIMED_OUT, 0),
+        (HEAD, "silence", Verdict.TIMED_OUT, 0),
+        (HEAD + chunked(TOKEN)[:-5], "silence", Verdict.TIMED_OUT, 0),
+        (HEAD + chunked(TOKEN), "keep", Verdict.ERROR, 0),
+        (HEAD + chunked(), "keep", Verdict.ERROR, 0),
+        (HEAD + b"zz\r\n", "silence", Verdict.ERROR, 0),
+        (HEAD + b"2\r\nabc\r\n", "silence", Verdict.ERROR, 0),
+        (HEAD + chunked(b"data: {\n\n"), "keep", Verdict.ERROR, 0),
+        (HEAD + chunked(b'data: {"error":"x"}\n\n'), "keep", Verdict.ERROR, 0),
+        (HEAD + chunked(b'data: {"choices":[{"text":7}]}\n\n'), "keep", Verdict.ERROR, 0),
+        (HEAD + b"9000\r\n" + b"x" * 3000, "silence", Verdict.ERROR, 0),
+        (GOOD + b"more", "silence", Verdict.ERROR, 0),
+        (b"SSH-2.0-x\r\n", "silence", Verdict.ERROR, 0),
+        (b"HTTP/1.1 abc X\r\n\r\n", "silence", Verdict.ERROR, 0),
+        (b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "silence", Verdict.ERROR, 0),
+        (b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 500, "silence", Verdict.ERROR, 0),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + GOOD, "keep", Verdict.FINISHED, 4),
+        (whole(500, b"oops"), "keep", Verdict.ERROR, 0),
+        (whole(503, b"", b"Retry-After: 1\r\n"), "keep", Verdict.FULL, 0),
+        (whole(410, b'{"error":{"code":"kv_state_gone"}}'), "keep", Verdict.FULL, 1),
+        (whole(410, b"[]"), "keep", Verdict.ERROR, 0),
+    ],
+)
 def test_one_verdict_for_every_end(says: bytes, then: str, verdict: Verdict, detail: int) -> None:
     seen = play(says, then)
     assert (seen.verdict, seen.detail) == (verdict, detail)
@@ -166,9 +175,15 @@
         assert seen.events == ["first", " a", " a"] and seen.load == {"memory": 0.5, "queue": 3.0}
 
 
-@pytest.mark.parametrize("says, verdict, detail", [
-    (whole(200, READ, LOAD), Verdict.READ, 7), (whole(200, b"{}"), Verdict.ERROR, 0),
-    (whole(200, b"[1"), Verdict.ERROR, 0), (whole(503, b""), Verdict.FULL, 0)])
+@pytest.mark.parametrize(
+    "says, verdict, detail",
+    [
+        (whole(200, READ, LOAD), Verdict.READ, 7),
+        (whole(200, b"{}"), Verdict.ERROR, 0),
+        (whole(200, b"[1"), Verdict.ERROR, 0),
+        (whole(503, b""), Verdict.FULL, 0),
+    ],
+)
 def test_reads(says: bytes, verdict: Verdict, detail: int) -> None:
     seen = play(says, "keep", Role.READER)
     assert (seen.verdict, seen.detail) == (verdict, detail)
@@ -200,6 +215,7 @@
         assert second.verdict is Verdict.CROWDED and len(engine.heads) == 4
         call.cancel()
         server.close()
+
     asyncio.run(run())
 
 
@@ -218,6 +234,7 @@
                 await asyncio.sleep(0)
             assert seen.verdict is Verdict.FINISHED and pool.open == 0
         server.close()
+
     asyncio.run(run())
 
 
@@ -233,25 +250,51 @@
     assert said == tries and now <= 10.3
 
 
-@pytest.mark.parametrize("effect, final, repeated", [
-    (Effect.TOKENED, "rate-limited", False), (Effect.NON_IDEMPOTENT, "aborted: given up", False),
-    (Effect.IDEMPOTENT, "rate-limited", True)])
-@pytest.mark.parametrize("says, then", [
-    (whole(500, b""), "keep"), (b"", "reset"), (b"", "close"), (b"nonsense", "close")])
+@pytest.mark.parametrize(
+    "effect, final, repeated",
+    [
+        (Effect.TOKENED, "rate-limited", False),
+        (Effect.NON_IDEMPOTENT, "aborted: given up", False),
+        (Effect.IDEMPOTENT, "rate-limited", True),
+    ],
+)
+@pytest.mark.parametrize(
+    "says, then", [(whole(500, b""), "keep"), (b"", "reset"), (b"", "close"), (b"nonsense", "close")]
+)
 def test_a_keyed_one_is_not_repeated_after_an_attempt_that_may_have_run(
     says: bytes, then: str, effect: Effect, final: str, repeated: bool
 ) -> None:
     """Guards against a repeat that its engine reads when the key is known no more."""
+
     async def run() -> None:
         engines = [Scripted(says, then), Scripted(says, then)]
         servers = [await asyncio.start_server(e.serve, "127.0.0.1", 0) for e in engines]
         the_link, client = link(), Client()
         core = Core(
-            asyncio.get_running_loop(), the_link, "f", 1, [Kind(Role.MIXED, 0)],
+            asyncio.get_running_loop(),
+            the_link,
+            "f",
+            1,
+            [Kind(Role.MIXED, 0)],
             [Workload(0.1, 0.0, 0.05, effect, Group.ALL, 2.0, 1.0)],
-            0, 1, 0, 6, 0.3, True, 2.0, 10.0, 0.3, 2.5, 2.0, answer_margin=0.1, stream_limit=5.0)
-        endpoints = [Endpoint(n, f"e{n}", Role.MIXED, "127.0.0.1", server.sockets[0].getsockname()[1])
-                     for n, server in enumerate(servers, 1)]
+            0,
+            1,
+            0,
+            6,
+            0.3,
+            True,
+            2.0,
+            10.0,
+            0.3,
+            2.5,
+            2.0,
+            answer_margin=0.1,
+            stream_limit=5.0,
+        )
+        endpoints = [
+            Endpoint(n, f"e{n}", Role.MIXED, "127.0.0.1", server.sockets[0].getsockname()[1])
+            for n, server in enumerate(servers, 1)
+        ]
         core.list_changed(True, [(endpoint, 0, 0, 0, Health.ON, 1.0, 0.0) for endpoint in endpoints])
         core.take(client, 0, 0, "s", "", 50, 0, 20, 1.0, {"prompt": "x"}, mark="key")
         async with asyncio.timeout(5.0):
@@ -263,6 +306,7 @@
         assert client.finals == [final]
         posts = sum(head.startswith(b"POST") for engine in engines for head in engine.heads)
         assert posts > 1 if repeated else posts == 1
+
     asyncio.run(run())
 
 
@@ -273,7 +317,7 @@
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         got = b""
-        while b"x\"" not in got[-400:]:
+        while b'x"' not in got[-400:]:
             got += await reader.read(int(rate * step))
             await asyncio.sleep(step)
         writer.write(whole(200, READ))
@@ -294,5 +338,6 @@
         server.close()
         assert seen.verdict is not None
         verdicts.append(seen.verdict)
+
     asyncio.run(run())
     assert verdicts == [Verdict.READ]
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -77,4 +77,5 @@
             send_signal(node.process, signal.SIGTERM)
             told = (await node.process.stderr.read()).count(b"passed over")
         assert 0 < told < 200 * 11  # each change tells of ten, and of how many more
+
     play(tmp_path, [a, b], day)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -30,9 +30,16 @@
         """The final answer of one completion asked by that key, on a session of its own."""
         async with connect(self.served.url, subprotocols=["heathford.v2"]) as client:  # type: ignore[list-item]
             params = {"model": "w", "prompt": "x" * 40, "max_tokens": 3, "timeout": 3.0}
-            await client.send(json.dumps({
-                "jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": {
-                    **params, "idempotency_key": key, **more}}))
+            await client.send(
+                json.dumps(
+                    {
+                        "jsonrpc": "2.0",
+                        "id": 1,
+                        "method": "completions.create",
+                        "params": {**params, "idempotency_key": key, **more},
+                    }
+                )
+            )
             while True:
                 said: dict[str, Any] = json.loads(await client.recv())
                 if "method" not in said:
@@ -41,6 +48,7 @@
 
 def play(folder: Path, effect: Effect, *scenes: Scene, serves: bool = False, end: str = "close") -> None:
     """Each scene is a start of its own; end: how each ends."""
+
     async def run(scene: Scene) -> None:
         served = Served(effect)
         memory = await Memory.open(folder, 60.0, serves)
@@ -53,6 +61,7 @@
             if memory.store and end == "kill":  # nothing more is written, and nothing told
                 memory.store.write = refuse  # type: ignore[method-assign]
             await memory.close(served.core.tally)
+
     for scene in scenes:
         asyncio.run(run(scene))
 
@@ -76,11 +85,13 @@
         assert start.served.core.tally.taken == 0 and start.memory.start == 2
         other = await start.ask("k", max_tokens=2)  # another body
         assert other["error"]["code"] == -32602
+
     play(tmp_path, effect, before, after, end=end)
 
 
-@pytest.mark.parametrize("effect, runs_again", [
-    (Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)])
+@pytest.mark.parametrize(
+    "effect, runs_again", [(Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)]
+)
 def test_a_repeat_of_one_that_was_out_when_its_front_was_killed(
     tmp_path: Path, effect: Effect, runs_again: bool
 ) -> None:
@@ -108,7 +119,9 @@
 
     async def again(start: Start) -> None:
         assert start.memory.store and counts.still_open(
-            start.memory.store.get(counts.SPACE, counts.TOTALS)) in (0, -0)
+            start.memory.store.get(counts.SPACE, counts.TOTALS)
+        ) in (0, -0)
+
     play(tmp_path, effect, before, after, again, end="kill")
 
 
@@ -122,9 +135,11 @@
         def take(*args: Any, **more: Any) -> Any:
             seen.append(json.loads(store.durable.get(kept.SPACE, kept.key_of(0, "k"), store.now) or b"{}"))
             return true(*args, **more)
+
         start.served.core.take = take  # type: ignore[method-assign]
         assert "result" in await start.ask("k")
         assert [s["final"] for s in seen] == ["out"]
+
     play(tmp_path, Effect.NON_IDEMPOTENT, scene)
 
 
@@ -145,6 +160,7 @@
         got = said["result"]["final"] if "result" in said else said["error"]["data"]["final"]
         assert got == final and start.memory.without == 1
         assert start.served.link.sent == (2 if serves else 0)
+
     play(tmp_path, Effect.NON_IDEMPOTENT, scene, serves=serves, end="kill")
 
 
@@ -157,6 +173,7 @@
         memory.begins(0, "k", b"", Effect.NON_IDEMPOTENT, done.append)
         assert done == [True]
         await first.close()
+
     asyncio.run(scene())
 
 
--- a/tests/test_module_play.py
+++ b/tests/test_module_play.py
@@ -59,8 +59,10 @@
         effect, group, risky = self.workload.effect, self.workload.group, self.risky
         assert not risky or effect is not Effect.NON_IDEMPOTENT, "an effect may come twice"
         if risky and effect is Effect.TOKENED and role is not Role.READER:
-            same = [group is Group.ALL or d.place == place or (group is Group.ZONE and d.place[0] == place[0])
-                    for d in risky]
+            same = [
+                group is Group.ALL or d.place == place or (group is Group.ZONE and d.place[0] == place[0])
+                for d in risky
+            ]
             assert all(same) and now - risky[0].sent < self.workload.memory_time
         world.sends.append((now, engine))
         self.held_since = None
@@ -121,8 +123,17 @@
 
 
 class World:
-    def __init__(self, seed: int, kinds: list[Kind], workloads: list[Workload], zones: int, engines: int,
-                 each_second: float, trouble: float, **more: Any) -> None:
+    def __init__(
+        self,
+        seed: int,
+        kinds: list[Kind],
+        workloads: list[Workload],
+        zones: int,
+        engines: int,
+        each_second: float,
+        trouble: float,
+        **more: Any,
+    ) -> None:
         self.random, self.now, self.trouble = Random(seed), (0.0, 100.0, 1e6)[seed % 3], trouble
         self.kinds, self.workloads, self.zones, self.each_second = kinds, workloads, zones, each_second
         self.order, self.events = count(), list[tuple[float, int, Any]]()
@@ -135,11 +146,20 @@
         self.warm_after, self.cold_window = more["warm_after"], more["cold_window"]
         self.cold_from, self.cold_multiple = more["cold_from"], more["cold_multiple"]
         self.router = Router(
-            self, self, seed, kinds, workloads, may_delay_retries=True, longest_retry=self.longest_retry,
-            zone=0, **more)
+            self,
+            self,
+            seed,
+            kinds,
+            workloads,
+            may_delay_retries=True,
+            longest_retry=self.longest_retry,
+            zone=0,
+            **more,
+        )
         self.count = count(1)
-        self.change([(next(self.count), self.random.randrange(len(kinds)), Health.ON, 0.0)
-                     for _ in range(engines)])
+        self.change(
+            [(next(self.count), self.random.randrange(len(kinds)), Health.ON, 0.0) for _ in range(engines)]
+        )
 
     # heathford.interface.InstanceDoor
 
@@ -179,8 +199,9 @@
     def check_cold(self) -> None:
         """The rule allows a cold engine its part of what a warm one bears; here none is known to bear more
         than all answers of a window."""
-        most = max((sum(at - self.cold_window <= a <= at for a in self.answered)
-                    for at in self.answered), default=0)
+        most = max(
+            (sum(at - self.cold_window <= a <= at for a in self.answered) for at in self.answered), default=0
+        )
         allowed = self.cold_from * self.cold_multiple * most
         for number, began in self.began.items():
             sent = [at for at, engine in self.sends if engine == number and at < began + self.warm_after]
@@ -221,8 +242,17 @@
         prompt = self.random.choice((0, 1, 700, 6000, 60_000))
         shared = self.random.choice(("", "a", "b"))
         asked.handle = self.router.take(
-            asked, place, 0, str(self.random.randrange(9)), shared, prompt, prompt // 2 if shared else 0,
-            self.random.choice((0, 1, 370)), self.random.choice((0.0, 1.5)), asked.due)
+            asked,
+            place,
+            0,
+            str(self.random.randrange(9)),
+            shared,
+            prompt,
+            prompt // 2 if shared else 0,
+            self.random.choice((0, 1, 370)),
+            self.random.choice((0.0, 1.5)),
+            asked.due,
+        )
         if self.random.random() < 0.1:
             self.after(self.random.uniform(0.0, timeout), asked.leave)
         self.decide()
@@ -252,23 +282,41 @@
 
 
 workloads = st.builds(
-    some_workload, st.integers(0, 3), st.sampled_from([0.1, 0.7, 5.0, 60.0]), st.sampled_from(Effect),
-    st.sampled_from(Group))
+    some_workload,
+    st.integers(0, 3),
+    st.sampled_from([0.1, 0.7, 5.0, 60.0]),
+    st.sampled_from(Effect),
+    st.sampled_from(Group),
+)
 kinds = st.lists(
     st.builds(Kind, st.sampled_from(Role), st.sampled_from([0, 9_000, 150_000, 1_200_000])),
-    min_size=1, max_size=4)
+    min_size=1,
+    max_size=4,
+)
 
 
 @settings(max_examples=120, deadline=None, derandomize=True, database=None)
 @given(
-    seed=st.integers(0, 1000), kinds=kinds, workloads=st.one_of(
-        st.lists(workloads, min_size=1, max_size=1), st.lists(workloads, min_size=2, max_size=20)),
-    zones=st.integers(1, 4), engines=st.integers(0, 24), each_second=st.sampled_from([0.5, 3.0, 12.0]),
-    trouble=st.sampled_from([0.0, 0.5, 1.5]), fronts=st.sampled_from([1, 3, 230, 1024]),
-    try_limit=st.integers(1, 6), pin_limit=st.sampled_from([0.02, 0.3, 2.0]), may_cancel=st.booleans(),
-    warm_after=st.sampled_from([0.5, 9.0]), cold_window=st.sampled_from([0.0, 1.0]),
-    cold_from=st.sampled_from([0.0, 0.3, 1.0]), cold_multiple=st.sampled_from([0.0, 2.5]),
-    read_in_place=st.booleans(), subscribe=st.booleans())
+    seed=st.integers(0, 1000),
+    kinds=kinds,
+    workloads=st.one_of(
+        st.lists(workloads, min_size=1, max_size=1), st.lists(workloads, min_size=2, max_size=20)
+    ),
+    zones=st.integers(1, 4),
+    engines=st.integers(0, 24),
+    each_second=st.sampled_from([0.5, 3.0, 12.0]),
+    trouble=st.sampled_from([0.0, 0.5, 1.5]),
+    fronts=st.sampled_from([1, 3, 230, 1024]),
+    try_limit=st.integers(1, 6),
+    pin_limit=st.sampled_from([0.02, 0.3, 2.0]),
+    may_cancel=st.booleans(),
+    warm_after=st.sampled_from([0.5, 9.0]),
+    cold_window=st.sampled_from([0.0, 1.0]),
+    cold_from=st.sampled_from([0.0, 0.3, 1.0]),
+    cold_multiple=st.sampled_from([0.0, 2.5]),
+    read_in_place=st.booleans(),
+    subscribe=st.booleans(),
+)
 def test_the_rules_hold_under_any_settings(fronts: int, **world: Any) -> None:
     World(number=fronts // 2, fronts=fronts, **world).run()
 
@@ -279,6 +327,23 @@
     once = Workload(5.0, 0.0, 0.05, Effect.NON_IDEMPOTENT, Group.ALL, 2.0, 1.0)
     with pytest.raises(AssertionError, match="an effect may come twice"):
         for seed in range(20):
-            World(seed, [Kind(Role.MIXED, 0)], [once], 1, 5, 3.0, 1.5, number=0, fronts=1, try_limit=4,
-                  pin_limit=0.3, may_cancel=True, warm_after=1.0, cold_window=1.0, cold_from=0.3,
-                  cold_multiple=2.5, read_in_place=False, subscribe=False).run()
+            World(
+                seed,
+                [Kind(Role.MIXED, 0)],
+                [once],
+                1,
+                5,
+                3.0,
+                1.5,
+                number=0,
+                fronts=1,
+                try_limit=4,
+                pin_limit=0.3,
+                may_cancel=True,
+                warm_after=1.0,
+                cold_window=1.0,
+                cold_from=0.3,
+                cold_multiple=2.5,
+                read_in_place=False,
+                subscribe=False,
+            ).run()
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -37,7 +37,8 @@
     async def head(self) -> tuple[int, dict[str, str]]:
         lines = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         return int(lines[0].split()[1]), {
-            k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)}
+            k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)
+        }
 
     async def answer(self) -> tuple[int, bytes, bool]:
         """Status, body, and whether it was whole."""
@@ -61,13 +62,22 @@
             return b""
 
 
-def asked(name: str, budget: str = "4000", workload: str = "chat", prompt: str = "9", body: bytes = b"",
-          more: str = "", target: str = "/v1/chat/completions?v=1") -> bytes:
+def asked(
+    name: str,
+    budget: str = "4000",
+    workload: str = "chat",
+    prompt: str = "9",
+    body: bytes = b"",
+    more: str = "",
+    target: str = "/v1/chat/completions?v=1",
+) -> bytes:
     body = body or orjson.dumps({"stream": True, "messages": [{"role": "user", "content": "x" * 36}]})
-    return (f"POST {target} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\nX-Call-Class: {workload}\r\n"
-            f"X-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n{more}"
-            f"X-Call-Info: prompt_len={prompt},prefix_len=0,max_out=20\r\n"
-            f"Content-Length: {len(body)}\r\n\r\n").encode() + body
+    return (
+        f"POST {target} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\nX-Call-Class: {workload}\r\n"
+        f"X-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n{more}"
+        f"X-Call-Info: prompt_len={prompt},prefix_len=0,max_out=20\r\n"
+        f"Content-Length: {len(body)}\r\n\r\n"
+    ).encode() + body
 
 
 class Node:
@@ -80,8 +90,11 @@
         self.said: list[dict[str, Any]] = []
 
     async def start(
-        self, sockets: int = 256, limited: bool = False, before: Callable[["Node"], None] | None = None,
-        **limits: Any
+        self,
+        sockets: int = 256,
+        limited: bool = False,
+        before: Callable[["Node"], None] | None = None,
+        **limits: Any,
     ) -> None:
         """limited: the process may have no more descriptors than it is told. before: called once what the
         front knows from before is written, and before it starts; then it is not waited for until the node
@@ -90,20 +103,36 @@
             await engine.open()
         await self.agent.open()
         self.config: dict[str, Any] = {
-            "discovery": self.agent.address, "limits": {"sockets": sockets}, "seed": "1f",
+            "discovery": self.agent.address,
+            "limits": {"sockets": sockets},
+            "seed": "1f",
             "settings": settings(**limits),
-            "known": orjson.loads(self.agent.told(True, [e.row for e in self.engines]))}
+            "known": orjson.loads(self.agent.told(True, [e.row for e in self.engines])),
+        }
         self.path = self.folder / "config.json"
         self.path.write_bytes(orjson.dumps(self.config))
         if before:
             before(self)
         self.process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "heathford", "--log", "json", "platform",
-            cwd=Path(__file__).parent.parent, stderr=asyncio.subprocess.PIPE,
+            sys.executable,
+            "-m",
+            "heathford",
+            "--log",
+            "json",
+            "platform",
+            cwd=Path(__file__).parent.parent,
+            stderr=asyncio.subprocess.PIPE,
             preexec_fn=partial(resource.setrlimit, resource.RLIMIT_NOFILE, (sockets, sockets))
-            if limited else None,
-            env={**os.environ, "NODE_NAME": "n0", "NODE_LISTEN": "127.0.0.1:0",
-                 "NODE_DISCOVERY": self.agent.address, "NODE_CONFIG": str(self.path)})
+            if limited
+            else None,
+            env={
+                **os.environ,
+                "NODE_NAME": "n0",
+                "NODE_LISTEN": "127.0.0.1:0",
+                "NODE_DISCOVERY": self.agent.address,
+                "NODE_CONFIG": str(self.path),
+            },
+        )
         ready = await self.until("ready")
         self.port = int(ready["listen"].rpartition(":")[2])
         if not before:
@@ -146,8 +175,9 @@
     return ScriptedEngine(uid, "m1", False, *script)
 
 
-def play(folder: Path, engines: list[ScriptedEngine], day: Callable[[Node], Awaitable[None]],
-         **limits: Any) -> None:
+def play(
+    folder: Path, engines: list[ScriptedEngine], day: Callable[[Node], Awaitable[None]], **limits: Any
+) -> None:
     async def run() -> None:
         node = Node(folder, *engines)
         try:
@@ -157,6 +187,7 @@
                 assert node.process and node.process.returncode in (None, 0)
         finally:
             await node.stop()
+
     asyncio.run(run())
 
 
@@ -178,28 +209,39 @@
         assert (await client.answer())[0] == 200
         client.say(asked("c3") + asked("c4"))  # pipelined: in order, one at a time
         assert [await client.answer() for _ in range(2)] == [(200, ALL, True)] * 2
+
     play(tmp_path, [a, b], day)
 
 
 CUT = (200, EVENTS[0], False)
 
 
-@pytest.mark.parametrize("workload, read, write, answer, sent", [
-    # What is known not to have run may be sent again, whatever its effect; what may have run only if that
-    # does no harm.
-    ("chat", ["full"], [], (200, ALL, True), 1), ("booking", ["error"], [], (200, ALL, True), 1),
-    ("booking", ["reset"], [], (200, ALL, True), 1),
-    ("booking", [], ["full"], (200, ALL, True), 2), ("chat", [], ["error"], (200, ALL, True), 2),
-    ("booking", [], ["error"], 502, 1), ("booking", [], ["reset"], 502, 1), ("booking", [], ["busy"], 502, 1),
-    ("chat", [], ["reset"], (200, ALL, True), 2),
-    ("booking", [], ["gone"], (200, ALL, True), 2),
-    # Spoilt before the first event: may have run. Later: it is the client's, and ends without its last chunk.
-    ("chat", [], [b"noise\r\n\r\n"], (200, ALL, True), 2), ("booking", [], [b"noise\r\n\r\n"], 502, 1),
-    ("chat", [], ["break"], CUT, 1),
-    ("chat", [], [GOOD[:GOOD.index(b"\r\n\r\n") + 4] + b"zz\r\n"], (200, ALL, True), 2),
-    # Good though odd.
-    ("booking", [], [b"HTTP/1.1 103 X\r\n\r\n" + GOOD], (200, ALL, True), 1),
-    ("booking", [], [GOOD + GOOD], (200, ALL, True), 1)])
+@pytest.mark.parametrize(
+    "workload, read, write, answer, sent",
+    [
+        # What is known not to have run may be sent again, whatever its effect; what may have run only if that
+        # does no harm.
+        ("chat", ["full"], [], (200, ALL, True), 1),
+        ("booking", ["error"], [], (200, ALL, True), 1),
+        ("booking", ["reset"], [], (200, ALL, True), 1),
+        ("booking", [], ["full"], (200, ALL, True), 2),
+        ("chat", [], ["error"], (200, ALL, True), 2),
+        ("booking", [], ["error"], 502, 1),
+        ("booking", [], ["reset"], 502, 1),
+        ("booking", [], ["busy"], 502, 1),
+        ("chat", [], ["reset"], (200, ALL, True), 2),
+        ("booking", [], ["gone"], (200, ALL, True), 2),
+        # Spoilt before the first event: may have run. Later: it is the client's, and ends without its last
+        # chunk.
+        ("chat", [], [b"noise\r\n\r\n"], (200, ALL, True), 2),
+        ("booking", [], [b"noise\r\n\r\n"], 502, 1),
+        ("chat", [], ["break"], CUT, 1),
+        ("chat", [], [GOOD[: GOOD.index(b"\r\n\r\n") + 4] + b"zz\r\n"], (200, ALL, True), 2),
+        # Good though odd.
+        ("booking", [], [b"HTTP/1.1 103 X\r\n\r\n" + GOOD], (200, ALL, True), 1),
+        ("booking", [], [GOOD + GOOD], (200, ALL, True), 1),
+    ],
+)
 def test_each_way_an_engine_can_end_a_dispatch(
     tmp_path: Path, workload: str, read: list[Any], write: list[Any], answer: Any, sent: int
 ) -> None:
@@ -211,6 +253,7 @@
         assert b.asked.count(("POST", "c0")) == sent
         # What came behind an answer is nobody's: the next gets its own.
         assert await node.ask("c1", workload=workload) == (200, ALL, True)
+
     play(tmp_path, [a, b], day)
 
 
@@ -224,6 +267,7 @@
         assert (await client.reader.readuntil(b"\n\n\r\n")).endswith(EVENTS[0] + b"\r\n")
         b.held.set()
         assert await client.closed() == b"" and b.asked == [("POST", "c0")]
+
     play(tmp_path, [a, b], day)
 
 
@@ -235,6 +279,7 @@
         for n in range(6):
             assert await node.ask(f"c{n}", workload="booking") == (200, ALL, True)
         assert not dead.asked
+
     play(tmp_path, [a, b, dead], day)
 
 
@@ -247,6 +292,7 @@
         assert (status, whole) == (502, True) and asyncio.get_running_loop().time() - begun < 0.75
         await a.until(1, "DELETE")  # the state that it read is let go
         assert [name for method, name in b.asked if method == "POST"] == ["c0"]
+
     play(tmp_path, [a, b], day)
 
 
@@ -263,6 +309,7 @@
         other = asyncio.create_task(b.until(1, "DELETE"))
         await asyncio.wait([held, other], return_when=asyncio.FIRST_COMPLETED)
         assert not [m for m, _ in b.asked if m == "POST"]
+
     play(tmp_path, [a, b], day)
 
 
@@ -274,6 +321,7 @@
         assert (await node.ask("c0"))[0] == 503
         assert (await node.ask("c1", workload="booking"))[0] == 503
         assert loop.time() - began < 2.0  # of 8 that the two would wait
+
     play(tmp_path, [reader() if left == 0 else writer()], day)
 
 
@@ -283,19 +331,34 @@
         client.say(asked("c0", budget="300"))
         status, headers = await client.head()
         assert status == 503 and 0.0 < float(headers["retry-after"]) <= 1.0
+
     play(tmp_path, [reader()], day)  # no writer at all
 
 
-@pytest.mark.parametrize("said, status", [
-    (asked(""), 400), (asked("a/../b"), 400), (asked("c0", workload="odd"), 400),
-    (asked("c0", budget="soon"), 400), (asked("c0", budget="-5"), 400), (asked("c0", budget="0"), 400),
-    (asked("c0", budget="9" * 30), 400), (asked("c0", prompt="-1"), 400), (asked("c0", prompt="1e3"), 400),
-    (asked("c0", prompt="9" * 12), 400), (asked("c0", body=b"{"), 400), (asked("c0", body=b"{}"), 400),
-    (asked("c0", more="X-Call-Id: c1\r\n"), 400), (asked("c0", target="/v1/other"), 404),
-    (asked("c0", more="Transfer-Encoding: chunked\r\n"), 400),
-    (b"GET /v1/chat/completions HTTP/1.1\r\n\r\n", 405),
-    (b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 413),
-    (b"\x00" * 100, 400), (b"GET /" + b"a" * 40_000, 431)])
+@pytest.mark.parametrize(
+    "said, status",
+    [
+        (asked(""), 400),
+        (asked("a/../b"), 400),
+        (asked("c0", workload="odd"), 400),
+        (asked("c0", budget="soon"), 400),
+        (asked("c0", budget="-5"), 400),
+        (asked("c0", budget="0"), 400),
+        (asked("c0", budget="9" * 30), 400),
+        (asked("c0", prompt="-1"), 400),
+        (asked("c0", prompt="1e3"), 400),
+        (asked("c0", prompt="9" * 12), 400),
+        (asked("c0", body=b"{"), 400),
+        (asked("c0", body=b"{}"), 400),
+        (asked("c0", more="X-Call-Id: c1\r\n"), 400),
+        (asked("c0", target="/v1/other"), 404),
+        (asked("c0", more="Transfer-Encoding: chunked\r\n"), 400),
+        (b"GET /v1/chat/completions HTTP/1.1\r\n\r\n", 405),
+        (b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 413),
+        (b"\x00" * 100, 400),
+        (b"GET /" + b"a" * 40_000, 431),
+    ],
+)
 def test_what_makes_no_sense_is_refused_and_never_sent_on(tmp_path: Path, said: bytes, status: int) -> None:
     a, b = reader(), writer()
 
@@ -307,6 +370,7 @@
         # which has ended, on a port that an engine here was given.
         assert not [call for call in a.asked + b.asked if call[0] in ("POST", "DELETE")]
         assert await node.ask("after") == (200, ALL, True)
+
     play(tmp_path, [a, b], day)
 
 
@@ -321,6 +385,7 @@
         a.held.set()
         assert await first.answer() == (200, ALL, True)
         assert await node.ask("c0") == (200, ALL, True)
+
     play(tmp_path, [a, b], day)
 
 
@@ -332,6 +397,7 @@
         said = [await client.closed() for client in silent]
         assert asyncio.get_running_loop().time() - begun < 3.0
         assert {line.split(b"\r\n")[0] for line in said} <= {b"", b"HTTP/1.1 408 Request Timeout"}
+
     play(tmp_path, [reader(), writer()], day, sockets=64)
 
 
@@ -361,6 +427,7 @@
         assert [await busy.answer() for _ in range(2)] == [(200, ALL, True)] * 2
         await node.until("ended")
         assert await node.process.wait() == 0
+
     play(tmp_path, [a, b], day)
 
 
@@ -389,6 +456,7 @@
         assert ("POST", "c1") in other.asked and ("POST", "c1") not in b.asked
         moved.close()
         other.close()
+
     play(tmp_path, [a, b], day)
 
 
@@ -408,6 +476,7 @@
         for n in range(5):
             assert await node.ask(f"d{n}") == (200, ALL, True)
         assert len(b.asked) == count
+
     play(tmp_path, [a, b, other], day)
 
 
@@ -422,6 +491,7 @@
     async def day(node: Node) -> None:
         assert await node.ask("c0") == (200, ALL, True)
         assert not b.asked and ("POST", "c0") in other.asked
+
     other.state = "DRAINING"
     play(tmp_path, [a, b, other], day, before=drained_meanwhile)
 
@@ -431,6 +501,7 @@
         assert node.said[-1]["event"] == "ready" and node.said[-2]["event"] == "state"
         assert "no list yet" in {line["event"] for line in node.said}
         assert await node.ask("c0") == (200, ALL, True)
+
     play(tmp_path, [reader(), writer()], day, before=lambda node: setattr(node.agent, "silent", True))
 
 
@@ -443,8 +514,12 @@
     await agent.open()
     heard: list[Health] = []
     host, _, port = agent.address.rpartition(":")
-    watch = DiscoveryClient(host, int(port), Instances({"m1": (0, Role.WRITER)}, ["a", "b"]),
-                            lambda change: heard.extend(row[4] for row in change.rows))
+    watch = DiscoveryClient(
+        host,
+        int(port),
+        Instances({"m1": (0, Role.WRITER)}, ["a", "b"]),
+        lambda change: heard.extend(row[4] for row in change.rows),
+    )
     watch.start()
     try:
         async with asyncio.timeout(LIMIT):
@@ -459,6 +534,7 @@
 def test_what_discovery_has_after_a_silence_is_heard_within_the_shortest_grace(tmp_path: Path) -> None:
     """Seen on a fleet whose discovery was down for 8 s: the list call made meanwhile was never answered and
     waited for 5 s, while what the agent had counted as told and engines drained."""
+
     async def run() -> None:
         async with watched() as (engine, agent, heard):
             agent.silent = True
@@ -469,6 +545,7 @@
             agent.version += 1
             await asyncio.sleep(0.5)
             assert heard[-1] is Health.DRAINING
+
     asyncio.run(run())
 
 
@@ -486,32 +563,60 @@
             while not heard or heard[-1] is not Health.DRAINING:
                 await asyncio.sleep(0.02)
             await agent.until_watched(2)
+
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("variables, why", [
-    ({}, "not told by the platform: NODE_NAME"), ({"NODE_LISTEN": "here"}, "NODE_LISTEN is no HOST:PORT"),
-    ({"NODE_CONFIG": "nowhere.json"}, "the configuration can't be read"),
-    ({"text": "[]"}, "no JSON object"), ({"text": '{"limits":{},"settings":{},"discovery":"h:1"}'},
-                                         "the settings can't be used: familyInfo is missing"),
-    ({"text": "good", "NODE_LISTEN": "taken"}, "NODE_LISTEN can't be listened on")])
+@pytest.mark.parametrize(
+    "variables, why",
+    [
+        ({}, "not told by the platform: NODE_NAME"),
+        ({"NODE_LISTEN": "here"}, "NODE_LISTEN is no HOST:PORT"),
+        ({"NODE_CONFIG": "nowhere.json"}, "the configuration can't be read"),
+        ({"text": "[]"}, "no JSON object"),
+        (
+            {"text": '{"limits":{},"settings":{},"discovery":"h:1"}'},
+            "the settings can't be used: familyInfo is missing",
+        ),
+        ({"text": "good", "NODE_LISTEN": "taken"}, "NODE_LISTEN can't be listened on"),
+    ],
+)
 def test_a_start_that_can_not_be_is_told(tmp_path: Path, variables: dict[str, str], why: str) -> None:
     async def run() -> None:
         path = tmp_path / "config.json"
         text = variables.pop("text", "{}")
-        path.write_bytes(text.encode() if text != "good" else orjson.dumps(
-            {"discovery": "127.0.0.1:1", "limits": {}, "settings": settings()}))
-        given = variables and {"NODE_NAME": "n", "NODE_LISTEN": "127.0.0.1:0", "NODE_DISCOVERY": "h:1",
-                               "NODE_CONFIG": str(path), **variables}
+        path.write_bytes(
+            text.encode()
+            if text != "good"
+            else orjson.dumps({"discovery": "127.0.0.1:1", "limits": {}, "settings": settings()})
+        )
+        given = variables and {
+            "NODE_NAME": "n",
+            "NODE_LISTEN": "127.0.0.1:0",
+            "NODE_DISCOVERY": "h:1",
+            "NODE_CONFIG": str(path),
+            **variables,
+        }
         if why.startswith("no JSON") or "settings" in why:
-            given = {"NODE_NAME": "n", "NODE_LISTEN": "127.0.0.1:0", "NODE_DISCOVERY": "h:1",
-                     "NODE_CONFIG": str(path)}
+            given = {
+                "NODE_NAME": "n",
+                "NODE_LISTEN": "127.0.0.1:0",
+                "NODE_DISCOVERY": "h:1",
+                "NODE_CONFIG": str(path),
+            }
         if variables.get("NODE_LISTEN") == "taken":
             given["NODE_LISTEN"] = f"127.0.0.1:{other.getsockname()[1]}"
         process = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "heathford", "platform", cwd=Path(__file__).parent.parent,
-            stderr=asyncio.subprocess.PIPE, env={**os.environ, **given})
+            sys.executable,
+            "-m",
+            "heathford",
+            "platform",
+            cwd=Path(__file__).parent.parent,
+            stderr=asyncio.subprocess.PIPE,
+            env={**os.environ, **given},
+        )
         _, error = await process.communicate()
         assert process.returncode == 2 and why in error.decode()
+
     with socket.create_server(("127.0.0.1", 0)) as other:
         asyncio.run(run())
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -15,7 +15,7 @@
     answer, passed = Answer(reading), b""
     for at in range(0, len(said), step):
         try:
-            passed += answer.feed(said[at:at + step])
+            passed += answer.feed(said[at : at + step])
             if answer.response.done:
                 return passed, answer.verdict()
         except NonsenseError:
@@ -27,12 +27,16 @@
 READ_UNTIL_CLOSE = b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\n"
 
 
-@pytest.mark.parametrize("said, reading, passed, verdict", [
-    (UNTIL_CLOSE + ALL, False, ALL, (Verdict.FINISHED, 4)),
-    (UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
-    (READ_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Verdict.READ, 4)),
-    (READ_UNTIL_CLOSE + b'{"cached_tok', True, b"", "nonsense"),
-    (READ_UNTIL_CLOSE + b"x" * 300_000, True, b"", "nonsense")])
+@pytest.mark.parametrize(
+    "said, reading, passed, verdict",
+    [
+        (UNTIL_CLOSE + ALL, False, ALL, (Verdict.FINISHED, 4)),
+        (UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
+        (READ_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Verdict.READ, 4)),
+        (READ_UNTIL_CLOSE + b'{"cached_tok', True, b"", "nonsense"),
+        (READ_UNTIL_CLOSE + b"x" * 300_000, True, b"", "nonsense"),
+    ],
+)
 def test_an_answer_without_a_length_ends_with_its_connection(
     said: bytes, reading: bool, passed: bytes, verdict: object
 ) -> None:
@@ -40,7 +44,7 @@
         answer, got = Answer(reading), b""
         try:
             for at in range(0, len(said), step):
-                got += answer.feed(said[at:at + step])
+                got += answer.feed(said[at : at + step])
             assert not answer.response.done and not answer.keep
             answer.response.closed()
             found: object = answer.verdict()
@@ -49,41 +53,65 @@
         assert (got, found) == (passed, verdict)
 
 
-@pytest.mark.parametrize("field, keep", [
-    ("close", False), ("Close", False), ("keep-alive", True), ("keep-alive, close", False),
-    ("x-closely", True), ("close , te", False)])
+@pytest.mark.parametrize(
+    "field, keep",
+    [
+        ("close", False),
+        ("Close", False),
+        ("keep-alive", True),
+        ("keep-alive, close", False),
+        ("x-closely", True),
+        ("close , te", False),
+    ],
+)
 def test_which_answers_end_their_connection(field: str, keep: bool) -> None:
     answer = Answer(reading=False)
     answer.feed(f"HTTP/1.1 500 X\r\nConnection: {field}\r\nContent-Length: 0\r\n\r\n".encode())
     assert answer.response.done and answer.keep == keep
 
 
-@pytest.mark.parametrize("said, reading, passed, verdict", [
-    (GOOD, False, ALL, (Verdict.FINISHED, 4)), (READ, True, b"", (Verdict.READ, 4)),
-    (whole(202, b'{"cached_tokens":-3}'), True, b"", (Verdict.READ, 0)),
-    (whole(202, b"{"), True, b"", "nonsense"),
-    (WORDS["error"], False, b"", (Verdict.ERROR, 0)), (WORDS["full"], True, b"", (Verdict.FULL, 0)),
-    (WORDS["expired"], False, b"", (Verdict.FULL, 0)), (WORDS["busy"], False, b"", (Verdict.ERROR, 0)),
-    (WORDS["gone"], False, b"", (Verdict.FULL, 1)), (whole(410), False, b"", (Verdict.ERROR, 0)),
-    (whole(200, b"{}"), True, b"", (Verdict.ERROR, 0)), (whole(202, b"{}"), False, b"", (Verdict.ERROR, 0)),
-    (whole(404), False, b"", (Verdict.ERROR, 0)),
-    (b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + GOOD, False, ALL, (Verdict.FINISHED, 4)),
-    (GOOD.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff;=\r\n\r\n", 1), False, ALL, (Verdict.FINISHED, 4)),
-    (WORDS["begin"], False, EVENTS[0], None),
-    (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Verdict.FINISHED, 4)),
-    # Spoilt before the first event, after which another dispatch may go out, and later.
-    (b"\x00\x01\x02noise", False, b"", "nonsense"), (b"HTTP/1.1 2x0 OK\r\n\r\n", False, b"", "nonsense"),
-    (b"HTTP/1.1 200 OK\r\nA: " + b"a" * 20_000, False, b"", "nonsense"),
-    (STREAM + b"zz\r\n", False, b"", "nonsense"), (STREAM + chunk(b"noise\n\n"), False, b"", "nonsense"),
-    (STREAM + chunk(b"data: {]\n\n"), False, b"", "nonsense"),
-    (STREAM + chunk(b"a" * 20_000), False, b"", "nonsense"),
-    (STREAM + b"0\r\n\r\n", False, b"", "nonsense"),
-    (STREAM + chunk(EVENTS[0]) + b"zz\r\n", False, EVENTS[0], "nonsense"),
-    (STREAM + chunk(EVENTS[0]) + b"-5\r\n", False, EVENTS[0], "nonsense"),
-    (STREAM + chunk(EVENTS[0]) + b"C0000000\r\ndata", False, EVENTS[0], "nonsense"),
-    (STREAM + chunk(EVENTS[0]) + b"1\r\nabc\r\n", False, EVENTS[0], "nonsense"),
-    (STREAM + chunk(EVENTS[0]) + b"0\r\n\r\n", False, EVENTS[0], "nonsense"),
-    (STREAM + chunk(ALL) + chunk(EVENTS[0]), False, ALL, "nonsense")])
+@pytest.mark.parametrize(
+    "said, reading, passed, verdict",
+    [
+        (GOOD, False, ALL, (Verdict.FINISHED, 4)),
+        (READ, True, b"", (Verdict.READ, 4)),
+        (whole(202, b'{"cached_tokens":-3}'), True, b"", (Verdict.READ, 0)),
+        (whole(202, b"{"), True, b"", "nonsense"),
+        (WORDS["error"], False, b"", (Verdict.ERROR, 0)),
+        (WORDS["full"], True, b"", (Verdict.FULL, 0)),
+        (WORDS["expired"], False, b"", (Verdict.FULL, 0)),
+        (WORDS["busy"], False, b"", (Verdict.ERROR, 0)),
+        (WORDS["gone"], False, b"", (Verdict.FULL, 1)),
+        (whole(410), False, b"", (Verdict.ERROR, 0)),
+        (whole(200, b"{}"), True, b"", (Verdict.ERROR, 0)),
+        (whole(202, b"{}"), False, b"", (Verdict.ERROR, 0)),
+        (whole(404), False, b"", (Verdict.ERROR, 0)),
+        (b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + GOOD, False, ALL, (Verdict.FINISHED, 4)),
+        (
+            GOOD.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff;=\r\n\r\n", 1),
+            False,
+            ALL,
+            (Verdict.FINISHED, 4),
+        ),
+        (WORDS["begin"], False, EVENTS[0], None),
+        (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Verdict.FINISHED, 4)),
+        # Spoilt before the first event, after which another dispatch may go out, and later.
+        (b"\x00\x01\x02noise", False, b"", "nonsense"),
+        (b"HTTP/1.1 2x0 OK\r\n\r\n", False, b"", "nonsense"),
+        (b"HTTP/1.1 200 OK\r\nA: " + b"a" * 20_000, False, b"", "nonsense"),
+        (STREAM + b"zz\r\n", False, b"", "nonsense"),
+        (STREAM + chunk(b"noise\n\n"), False, b"", "nonsense"),
+        (STREAM + chunk(b"data: {]\n\n"), False, b"", "nonsense"),
+        (STREAM + chunk(b"a" * 20_000), False, b"", "nonsense"),
+        (STREAM + b"0\r\n\r\n", False, b"", "nonsense"),
+        (STREAM + chunk(EVENTS[0]) + b"zz\r\n", False, EVENTS[0], "nonsense"),
+        (STREAM + chunk(EVENTS[0]) + b"-5\r\n", False, EVENTS[0], "nonsense"),
+        (STREAM + chunk(EVENTS[0]) + b"C0000000\r\ndata", False, EVENTS[0], "nonsense"),
+        (STREAM + chunk(EVENTS[0]) + b"1\r\nabc\r\n", False, EVENTS[0], "nonsense"),
+        (STREAM + chunk(EVENTS[0]) + b"0\r\n\r\n", False, EVENTS[0], "nonsense"),
+        (STREAM + chunk(ALL) + chunk(EVENTS[0]), False, ALL, "nonsense"),
+    ],
+)
 def test_one_meaning_for_every_answer(said: bytes, reading: bool, passed: bytes, verdict: object) -> None:
     assert outcome(said, reading, 1) == (passed, verdict)
     at_once, same = outcome(said, reading, len(said))
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -43,15 +43,22 @@
         assert await node.ask("c1") == (200, ALL, True)
         other.close()
         assert posts(a) == 1 and posts(b, other) == 1
+
     play(tmp_path, [a, b], day)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
-@pytest.mark.parametrize("behind", [
-    pytest.param(b"", id="nothing"), pytest.param(b"x", id="a byte"),
-    pytest.param(asked("d1"), id="a request"),
-    pytest.param(40 * asked("d2"), id="40 requests"), pytest.param(2_000_000 * b"x", id="2 MB of noise"),
-    pytest.param(5_000 * asked("d3"), id="1.5 MB of requests")])
+@pytest.mark.parametrize(
+    "behind",
+    [
+        pytest.param(b"", id="nothing"),
+        pytest.param(b"x", id="a byte"),
+        pytest.param(asked("d1"), id="a request"),
+        pytest.param(40 * asked("d2"), id="40 requests"),
+        pytest.param(2_000_000 * b"x", id="2 MB of noise"),
+        pytest.param(5_000 * asked("d3"), id="1.5 MB of requests"),
+    ],
+)
 def test_no_write_begins_after_the_client_has_gone(tmp_path: Path, how: str, behind: bytes) -> None:
     """The client goes while its prompt is read; whatever it sent behind its request, its close is seen.
 
@@ -72,6 +79,7 @@
         await asyncio.sleep(0.3)
         assert posts(b) == 0 and posts(a) == 1
         assert await node.ask("c1") == (200, ALL, True)
+
     play(tmp_path, [a, b], day)
 
 
@@ -92,6 +100,7 @@
         node.agent.say({**other.row, "state": "SERVING"})
         await asyncio.sleep(0.3)
         assert posts(a) == 1 and posts(b) == 1 and posts(other) == 0
+
     play(tmp_path, [a, b, other], day)
 
 
@@ -101,6 +110,7 @@
         client.say(b"".join(asked(f"c{n}") for n in range(6)))
         for _ in range(6):
             assert await client.answer() == (200, ALL, True)
+
     play(tmp_path, [reader(), writer()], day)
 
 
@@ -114,6 +124,7 @@
         assert await node.ask("c1") == (200, ALL, True)
         a.held.set()
         assert await flood.answer() == (200, ALL, True)
+
     play(tmp_path, [a, b], day)
 
 
@@ -139,6 +150,7 @@
         assert ("POST", "c2") not in a.asked and idle.reader.exception() is None
         idle.writer.close()
         assert await node.process.wait() == 0
+
     play(tmp_path, [a, b], day)
 
 
@@ -151,13 +163,18 @@
         assert (status, whole) == (413, True)
         client.say(1_000 * b"x")
         assert await client.reader.read() == b""
+
     play(tmp_path, [reader(), writer()], day)
 
 
-@pytest.mark.parametrize("signals", [
-    pytest.param((signal.SIGHUP, signal.SIGTERM), id="HUP, TERM"),
-    pytest.param((signal.SIGTERM, signal.SIGHUP), id="TERM, HUP"),
-    pytest.param((signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP), id="several")])
+@pytest.mark.parametrize(
+    "signals",
+    [
+        pytest.param((signal.SIGHUP, signal.SIGTERM), id="HUP, TERM"),
+        pytest.param((signal.SIGTERM, signal.SIGHUP), id="TERM, HUP"),
+        pytest.param((signal.SIGHUP, signal.SIGHUP, signal.SIGTERM, signal.SIGHUP), id="several"),
+    ],
+)
 @pytest.mark.parametrize("config", ["moved", "half written"])
 def test_a_reload_beside_an_end_loses_nothing(
     tmp_path: Path, signals: tuple[signal.Signals, ...], config: str
@@ -170,7 +187,7 @@
         await b.until(1)
         text = node.path.read_bytes()
         moved = text.replace(node.agent.address.encode(), b"127.0.0.1:1")
-        node.path.write_bytes(moved if config == "moved" else text[:len(text) // 2])
+        node.path.write_bytes(moved if config == "moved" else text[: len(text) // 2])
         assert node.process
         for each in signals:
             send_signal(node.process, each)
@@ -178,6 +195,7 @@
         b.held.set()
         assert await waiting == (200, ALL, True)
         assert await node.process.wait() == 0
+
     play(tmp_path, [a, b], day)
 
 
@@ -198,6 +216,7 @@
             status, _, whole = await waiting
             assert (status, whole) == (502, True)
             assert await node.process.wait() == 0
+
     play(tmp_path, [a, b], day)
 
 
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -56,6 +56,7 @@
         assert await waiting == (200, ALL, True)
         assert await node.ask("c1") == (200, ALL, True)  # on a new connection, though all are taken
         assert ("POST", "c1") in other.asked and ("POST", "c1") not in b.asked
+
     play(tmp_path, [a, b, other], day, sockets=SOCKETS, limited=True)
 
 
@@ -69,4 +70,5 @@
             await asyncio.gather(*(node.client() for _ in range(IDLE_CLIENTS // 3)))
         b.held.set()
         assert await asyncio.gather(*waiting) == 3 * [(200, ALL, True)]
+
     play(tmp_path, [a, b], day, sockets=SOCKETS, limited=True)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -84,7 +84,8 @@
 
 def link_of(*near: Endpoint) -> PlatformLink:
     return PlatformLink(
-        connect_timeout=1.0, pin_limit=0.3, idle=15.0, connections=8, listed=lambda: (near, ()))
+        connect_timeout=1.0, pin_limit=0.3, idle=15.0, connections=8, listed=lambda: (near, ())
+    )
 
 
 def send(
@@ -97,6 +98,7 @@
 def test_given_up_means_ended_at_the_engine(engine: Engine, how: str) -> None:
     """Guards against a rate-limit reply that leaves before the dispatch's connection has closed: for its
     client and the engine the dispatch is still out then. Seen with a turn due in the same round of a loop."""
+
     async def day() -> None:
         link = link_of()
         heard = Heard(lambda: at_end(engine.held[0]))
@@ -115,6 +117,7 @@
 def test_answered_before_the_request_has_left(engine: Engine) -> None:
     """Guards against the rest of a request that leaves behind the verdict that it was turned away. Could harm
     by one new connection after a refusal of a long prompt."""
+
     async def day() -> None:
         link = link_of()
         heard = Heard(lambda: None)
@@ -139,6 +142,7 @@
 def test_a_silent_holder_is_not_the_only_one_asked_to_let_go(engine: Engine) -> None:
     """Seen on the whole fleet with a zone lost: a front with no other connection asked the holder five times
     over ("tried": the same address five times) and gave up. Any engine lets go of what another holds."""
+
     async def day() -> None:
         other = Engine()
         try:
@@ -160,6 +164,7 @@
 
 def test_what_is_sent_after_a_release_starts_once_it_is_through(engine: Engine) -> None:
     """Guards against a release that takes the state of the dispatch after it."""
+
     async def day() -> None:
         link = link_of()
         link.release(engine.endpoint(), "a1", ReleaseHeard())
@@ -230,6 +235,7 @@
 
 def test_dead_engines_are_passed_over_at_once(engine: Engine) -> None:
     """A lost zone: each refuses at once, and a wait after each had used the limit up."""
+
     async def day() -> None:
         dead = []
         for _ in range(6):
@@ -252,36 +258,66 @@
 E = [Endpoint(n, f"e{n}", Role.READER, "127.0.0.1", n) for n in range(6)]
 
 
-@pytest.mark.parametrize("asked, kept, near, far, then", [
-    ([0], [3, 2], [1, 2], [4], {3}), ([0, 3], [3, 2], [1, 2], [4], {2}), ([0], [0], [0, 1], [4], {1}),
-    ([0, 1], [], [0, 1], [4], {4}), ([0], [], [1, 2, 3], [], {1, 2, 3}),
-    ([0, 1], [], [0, 1, 2], [4, 5], {4, 5}), ([0, 1, 4], [], [0, 1, 2], [4, 5], {2}),
-    ([0, 1], [1], [0], [1], {0}), ([0], [], [], [], {0})])
+@pytest.mark.parametrize(
+    "asked, kept, near, far, then",
+    [
+        ([0], [3, 2], [1, 2], [4], {3}),
+        ([0, 3], [3, 2], [1, 2], [4], {2}),
+        ([0], [0], [0, 1], [4], {1}),
+        ([0, 1], [], [0, 1], [4], {4}),
+        ([0], [], [1, 2, 3], [], {1, 2, 3}),
+        ([0, 1], [], [0, 1, 2], [4, 5], {4, 5}),
+        ([0, 1, 4], [], [0, 1, 2], [4, 5], {2}),
+        ([0, 1], [1], [0], [1], {0}),
+        ([0], [], [], [], {0}),
+    ],
+)
 def test_whom_to_ask_next_to_let_go(
     asked: list[int], kept: list[int], near: list[int], far: list[int], then: set[int]
 ) -> None:
     """The kept connection used last, then near engines and far ones in turn; else the holder again."""
-    found = {next_to_ask(
-        f"c{n}", [E[i] for i in asked], [("127.0.0.1", i) for i in kept], [E[i] for i in near],
-        [E[i] for i in far]) for n in range(40)}
+    found = {
+        next_to_ask(
+            f"c{n}",
+            [E[i] for i in asked],
+            [("127.0.0.1", i) for i in kept],
+            [E[i] for i in near],
+            [E[i] for i in far],
+        )
+        for n in range(40)
+    }
     # All of them: fronts that let go at once do not meet at one.
     assert {endpoint.port if endpoint else None for endpoint in found} == then
 
 
-@pytest.mark.parametrize("asked, kept, near, far, silent, then", [
-    ([0], [3, 2], [1, 2], [4], {3}, 2), ([0], [3], [1, 2], [4], {3, 1}, 2), ([0], [3], [1], [4], {3, 1}, 4),
-    ([0], [3], [1], [4], {3, 1, 4}, 0), ([], [3], [1], [4], {3, 1, 4}, None), ([], [3, 2], [1], [], {3}, 2)])
+@pytest.mark.parametrize(
+    "asked, kept, near, far, silent, then",
+    [
+        ([0], [3, 2], [1, 2], [4], {3}, 2),
+        ([0], [3], [1, 2], [4], {3, 1}, 2),
+        ([0], [3], [1], [4], {3, 1}, 4),
+        ([0], [3], [1], [4], {3, 1, 4}, 0),
+        ([], [3], [1], [4], {3, 1, 4}, None),
+        ([], [3, 2], [1], [], {3}, 2),
+    ],
+)
 def test_silent_engines_are_passed_over(
     asked: list[int], kept: list[int], near: list[int], far: list[int], silent: set[int], then: int | None
 ) -> None:
     found = next_to_ask(
-        "c", [E[i] for i in asked], [("127.0.0.1", i) for i in kept], [E[i] for i in near],
-        [E[i] for i in far], lambda address: address[1] in silent)
+        "c",
+        [E[i] for i in asked],
+        [("127.0.0.1", i) for i in kept],
+        [E[i] for i in near],
+        [E[i] for i in far],
+        lambda address: address[1] in silent,
+    )
     assert (found.port if found else None) == then
 
 
 def test_a_dead_holder_that_is_alone_is_not_asked_in_a_row(engine: Engine) -> None:
     """Its refusals come at once: without a wait between them they use up all tries in milliseconds."""
+
     async def day() -> None:
         gone = Engine()
         dead = gone.endpoint()
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -65,6 +65,7 @@
 
 def test_a_reload_as_the_process_ends_does_not_change_how_it_ends(tmp_path: Path) -> None:
     """Seen before: once its event loop was closed SIGHUP ended it, with status -1."""
+
     async def day() -> None:
         async with node_process(tmp_path, *PLATFORM) as process:
             await until_said(process, b'"ready"')
@@ -76,4 +77,5 @@
                 await asyncio.sleep(0.001)
             assert process.returncode == 0
             assert b"Traceback" not in await reading
+
     asyncio.run(day())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -44,9 +44,10 @@
     assert (engine == 14) == (kind == "mixed")
 
 
-@pytest.mark.parametrize("read_slope, mixed_slope, idle, reader", [
-    (0.05, 0.05, 0.0, False), (0.05, 0.40, 0.0, True), (0.40, 0.05, 0.0, False),
-    (0.05, 0.40, 30.0, False)])  # a side without answers is tried again
+@pytest.mark.parametrize(
+    "read_slope, mixed_slope, idle, reader",
+    [(0.05, 0.05, 0.0, False), (0.05, 0.40, 0.0, True), (0.40, 0.05, 0.0, False), (0.05, 0.40, 30.0, False)],
+)  # a side without answers is tried again
 def test_balanced_cut_chooses(
     bench: New, read_slope: float, mixed_slope: float, idle: float, reader: bool
 ) -> None:
@@ -85,15 +86,19 @@
     assert len(b.router.waiting) == 1 and b.asked() == []
 
 
-@pytest.mark.parametrize("verdict, detail, effect, group, then", [
-    (Verdict.FULL, 0, NON_IDEMPOTENT, Group.ALL, "send"),
-    (Verdict.FULL, 1, NON_IDEMPOTENT, Group.ALL, "send"),
-    (Verdict.UNREACHABLE, 0, NON_IDEMPOTENT, Group.ALL, "send"),
-    (Verdict.TIMED_OUT, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-    (Verdict.ERROR, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-    (Verdict.BROKEN, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-    (Verdict.BROKEN, 0, IDEMPOTENT, Group.ALL, "send"),
-    (Verdict.ERROR, 0, TOKENED, Group.CELL, "send")])
+@pytest.mark.parametrize(
+    "verdict, detail, effect, group, then",
+    [
+        (Verdict.FULL, 0, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Verdict.FULL, 1, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Verdict.UNREACHABLE, 0, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Verdict.TIMED_OUT, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Verdict.ERROR, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Verdict.BROKEN, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Verdict.BROKEN, 0, IDEMPOTENT, Group.ALL, "send"),
+        (Verdict.ERROR, 0, TOKENED, Group.CELL, "send"),
+    ],
+)
 def test_next_step_after_a_write_failed(
     bench: New, verdict: Verdict, detail: int, effect: Effect, group: Group, then: str
 ) -> None:
@@ -109,9 +114,16 @@
     assert (then == "send") or ("release",) in asked
 
 
-@pytest.mark.parametrize("group, elsewhere, later, stays", [
-    (Group.CELL, 22, 0.1, True), (Group.ZONE, 22, 0.1, False), (Group.ZONE, 122, 0.1, True),
-    (Group.ALL, 122, 0.1, False), (Group.ALL, 122, 2.5, True)])
+@pytest.mark.parametrize(
+    "group, elsewhere, later, stays",
+    [
+        (Group.CELL, 22, 0.1, True),
+        (Group.ZONE, 22, 0.1, False),
+        (Group.ZONE, 122, 0.1, True),
+        (Group.ALL, 122, 0.1, False),
+        (Group.ALL, 122, 2.5, True),
+    ],
+)
 def test_tokened_repeats_stay_in_their_group_and_time(
     bench: New, group: Group, elsewhere: int, later: float, stays: bool
 ) -> None:
@@ -126,9 +138,16 @@
     assert (("send", elsewhere) not in b.asked()) == stays
 
 
-@pytest.mark.parametrize("how, limit, limited", [
-    ("not let in", 0.3, False), ("not let in", 0.06, False), ("no writer", 0.3, True),
-    ("client leaves", 0.3, False), ("out of time", 0.3, True)])
+@pytest.mark.parametrize(
+    "how, limit, limited",
+    [
+        ("not let in", 0.3, False),
+        ("not let in", 0.06, False),
+        ("no writer", 0.3, True),
+        ("client leaves", 0.3, False),
+        ("out of time", 0.3, True),
+    ],
+)
 def test_nothing_stays_pinned(bench: New, how: str, limit: float, limited: bool) -> None:
     b = bench(pin_limit=limit, cold_from=0.0)
     b.engines((10, 0), (12, 1))
@@ -145,8 +164,10 @@
     assert ("release",) in asked and (("rate_limit",) in asked) == limited
 
 
-@pytest.mark.parametrize("effect, left, read, write", [
-    (IDEMPOTENT, 20.0, 4.0, 2.0), (NON_IDEMPOTENT, 20.0, 4.0, 19.9), (IDEMPOTENT, 1.5, 0.75, 0.7)])
+@pytest.mark.parametrize(
+    "effect, left, read, write",
+    [(IDEMPOTENT, 20.0, 4.0, 2.0), (NON_IDEMPOTENT, 20.0, 4.0, 19.9), (IDEMPOTENT, 1.5, 0.75, 0.7)],
+)
 def test_what_may_be_repeated_is_not_waited_for_to_its_client_timeout(
     bench: New, effect: Effect, left: float, read: float, write: float
 ) -> None:
@@ -171,6 +192,7 @@
             b.end(c, Verdict.READ, after=0.01)
             b.first(c, after=0.01)
             b.end(c, Verdict.FINISHED, after=0.01, closed=True)
+
     answered(10)
     waits = []
     for n in range(5):
@@ -353,8 +375,9 @@
     return 20 * list(found.values())
 
 
-@pytest.mark.parametrize("fronts, per_second, budget", [
-    (3, 30.0, 54.0), (200, 0.4, 48.0), (230, 0.1, 13.8), (1024, 0.25, 153.6)])
+@pytest.mark.parametrize(
+    "fronts, per_second, budget", [(3, 30.0, 54.0), (200, 0.4, 48.0), (230, 0.1, 13.8), (1024, 0.25, 153.6)]
+)
 def test_fronts_share_the_budget_of_a_cold_engine(
     bench: New, fronts: int, per_second: float, budget: float
 ) -> None:
@@ -419,9 +442,7 @@
         b.end(c, Verdict.FINISHED, closed=True)
 
 
-def test_a_decision_costs_no_more_than_the_list_is_long(
-    bench: New, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_a_decision_costs_no_more_than_the_list_is_long(bench: New, monkeypatch: pytest.MonkeyPatch) -> None:
     """Guards against each of a thousand cold engines working out the budget anew, in every draw."""
     b = bench(number=1, fronts=1024)
     b.engines((5000, 1))
@@ -434,6 +455,7 @@
         nonlocal looks
         looks += 1
         return cold(engine)
+
     monkeypatch.setattr(b.router.slow_start, "cold", counted)
     b.take(5000)
     assert 1024 <= looks <= 16 * 1024
@@ -497,6 +519,7 @@
             if c.out and c.out.reading:
                 b.end(c, Verdict.READ)
         return b.asked()
+
     assert play() == play()
 
 
@@ -602,11 +625,19 @@
     assert (b.router.engines[14].failures > 0) == counts
 
 
-@pytest.mark.parametrize("effect, group, gone, after, answer", [
-    (TOKENED, Group.CELL, False, 2.5, "abort"), (TOKENED, Group.ZONE, False, 2.5, "abort"),
-    (TOKENED, Group.ALL, False, 2.5, "rate_limit"), (TOKENED, Group.CELL, True, 0.1, "abort"),
-    (TOKENED, Group.ZONE, True, 0.1, "abort"), (TOKENED, Group.ALL, True, 0.1, "send"),
-    (IDEMPOTENT, Group.ALL, True, 0.1, "send"), (NON_IDEMPOTENT, Group.ALL, False, 0.1, "abort")])
+@pytest.mark.parametrize(
+    "effect, group, gone, after, answer",
+    [
+        (TOKENED, Group.CELL, False, 2.5, "abort"),
+        (TOKENED, Group.ZONE, False, 2.5, "abort"),
+        (TOKENED, Group.ALL, False, 2.5, "rate_limit"),
+        (TOKENED, Group.CELL, True, 0.1, "abort"),
+        (TOKENED, Group.ZONE, True, 0.1, "abort"),
+        (TOKENED, Group.ALL, True, 0.1, "send"),
+        (IDEMPOTENT, Group.ALL, True, 0.1, "send"),
+        (NON_IDEMPOTENT, Group.ALL, False, 0.1, "abort"),
+    ],
+)
 def test_what_no_engine_may_take_any_more_is_answered_at_once(
     bench: New, effect: Effect, group: Group, gone: bool, after: float, answer: str
 ) -> None:
@@ -624,9 +655,15 @@
     assert c.settled == (answer != "send")
 
 
-@pytest.mark.parametrize("rest, gone, waited, answer", [
-    (0.3, False, 0.5, "send"), (8.0, False, 1.55, ""), (8.0, False, 1.85, "abort"),
-    (8.0, True, 0.1, "abort")])
+@pytest.mark.parametrize(
+    "rest, gone, waited, answer",
+    [
+        (0.3, False, 0.5, "send"),
+        (8.0, False, 1.55, ""),
+        (8.0, False, 1.85, "abort"),
+        (8.0, True, 0.1, "abort"),
+    ],
+)
 def test_a_tokened_one_waits_for_room_no_longer_than_its_group_may_take_it(
     bench: New, rest: float, gone: bool, waited: float, answer: str
 ) -> None:
@@ -662,8 +699,10 @@
     assert c.settled == (verdict not in NEVER_RAN)
 
 
-@pytest.mark.parametrize("keyed_repeats, group, patience", [
-    (True, Group.ZONE, 2.0), (False, Group.ALL, 2.0), (False, Group.ZONE, 19.9), (False, Group.CELL, 19.9)])
+@pytest.mark.parametrize(
+    "keyed_repeats, group, patience",
+    [(True, Group.ZONE, 2.0), (False, Group.ALL, 2.0), (False, Group.ZONE, 19.9), (False, Group.CELL, 19.9)],
+)
 def test_a_tokened_one_is_waited_for_as_long_as_it_can_be_where_nothing_may_follow(
     bench: New, keyed_repeats: bool, group: Group, patience: float
 ) -> None:
@@ -675,8 +714,10 @@
     assert b.patience == pytest.approx(patience)
 
 
-@pytest.mark.parametrize("keyed_repeats, group, ends", [
-    (False, Group.ALL, True), (False, Group.ZONE, False), (True, Group.ALL, False)])
+@pytest.mark.parametrize(
+    "keyed_repeats, group, ends",
+    [(False, Group.ALL, True), (False, Group.ZONE, False), (True, Group.ALL, False)],
+)
 def test_a_tokened_one_ends_at_a_silent_engine_only_where_its_client_may_come_again(
     bench: New, keyed_repeats: bool, group: Group, ends: bool
 ) -> None:
@@ -707,10 +748,20 @@
     assert b.asked()[-1][0] == then
 
 
-@pytest.mark.parametrize("kinds, in_place, answer", [
-    ([0, 1], False, "send 0"), ([0, 2], False, "send 0"), ([2], False, "send 2"), ([0], False, "limited"),
-    ([1], False, "limited"), ([1], True, "send 1"), ([0, 1], True, "send 0"), ([1, 2], True, "send 2"),
-    ([0], True, "limited")])
+@pytest.mark.parametrize(
+    "kinds, in_place, answer",
+    [
+        ([0, 1], False, "send 0"),
+        ([0, 2], False, "send 0"),
+        ([2], False, "send 2"),
+        ([0], False, "limited"),
+        ([1], False, "limited"),
+        ([1], True, "send 1"),
+        ([0, 1], True, "send 0"),
+        ([1, 2], True, "send 2"),
+        ([0], True, "limited"),
+    ],
+)
 def test_each_layout_decides_or_answers_at_once(
     bench: New, kinds: list[int], in_place: bool, answer: str
 ) -> None:
@@ -788,11 +839,18 @@
     assert b.asked() == [("send", 10)]
 
 
-@pytest.mark.parametrize("settings, hint", [
-    ({"workloads": [Workload(1.0, 0.0, 0.0, IDEMPOTENT, Group.ALL, 0.0, 1.0)]}, 2.0),
-    ({"kinds": [Kind(role, 0) for role in Role]}, 0.0), ({"cold_window": 0.0}, 0.0),
-    ({"warm_after": 0.0}, 0.0), ({"pin_limit": 0.0}, 0.0), ({"cold_from": 0.0, "cold_multiple": 0.0}, 0.0),
-    ({"fronts": 0}, 0.0)])
+@pytest.mark.parametrize(
+    "settings, hint",
+    [
+        ({"workloads": [Workload(1.0, 0.0, 0.0, IDEMPOTENT, Group.ALL, 0.0, 1.0)]}, 2.0),
+        ({"kinds": [Kind(role, 0) for role in Role]}, 0.0),
+        ({"cold_window": 0.0}, 0.0),
+        ({"warm_after": 0.0}, 0.0),
+        ({"pin_limit": 0.0}, 0.0),
+        ({"cold_from": 0.0, "cold_multiple": 0.0}, 0.0),
+        ({"fronts": 0}, 0.0),
+    ],
+)
 def test_settings_of_zero_divide_nothing(bench: New, settings: dict[str, Any], hint: float) -> None:
     b = bench(**settings)
     b.engines((10, 0), (12, 1), (14, 2))
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -12,7 +12,19 @@
 
 import pytest
 from raw_peers import (
-    Day, Held, RawClient, decode, front_node, prefill, readable, request, run_day, small_reads, turns, until)
+    Day,
+    Held,
+    RawClient,
+    decode,
+    front_node,
+    prefill,
+    readable,
+    request,
+    run_day,
+    small_reads,
+    turns,
+    until,
+)
 
 from heathford.platform.exchange import EngineConnection
 from heathford.standin.platform import READ, WORDS
@@ -44,6 +56,7 @@
             await until(lambda: not play.node.core.live and play.node.core.tally.left == 1, "left")
             await turns()
             assert a.posts == before
+
     run_day(tmp_path, day)
 
 
@@ -65,6 +78,7 @@
             await turns()
             assert b.posts == before
             await until(lambda: a.deletes == 1, "the release of what was read")
+
     run_day(tmp_path, day)
 
 
@@ -91,12 +105,14 @@
                 await until(lambda: not play.node.core.live, "left")
                 await turns()
                 assert (a.posts, b.posts, other.posts) == (1, 1, 0)
+
     asyncio.run(day())
 
 
 @pytest.mark.parametrize("how", GONE)
 def test_attempt_that_waits_for_a_release(tmp_path: Path, how: str) -> None:
     """A prefill that may have run is released before the next attempt, which waits for that."""
+
     async def day(play: Day) -> None:
         a, b = play.engines
         client = play.client()
@@ -110,13 +126,12 @@
             await until(lambda: not play.node.core.live, "left")
             await turns()
             assert (a.posts, b.posts) == (1, 0)
+
     run_day(tmp_path, day)
 
 
 @pytest.mark.parametrize("how", GONE)
-def test_attempt_of_which_part_has_left(
-    tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch
-) -> None:
+def test_attempt_of_which_part_has_left(tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """An engine that takes no bytes: a long request has left in part when its client goes. The rest must not
     follow, or the engine would begin on it. Seen: it waited on, and was whole once the engine read again."""
     made = EngineConnection.connection_made
@@ -126,6 +141,7 @@
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
         made(self, transport)
         connections.append(self)
+
     monkeypatch.setattr(EngineConnection, "connection_made", small_buffer)
 
     async def day() -> None:
@@ -143,6 +159,7 @@
             with suppress(OSError):
                 await until(lambda: closed(held) or len(held.got) > len(body), "the rest, or an end")
             assert len(held.got) < len(body) and not play.node.core.live
+
     asyncio.run(day())
 
 
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -41,6 +41,7 @@
         if to == port:
             time.sleep(CONNECT_TIMEOUT + 0.02)
         return found
+
     monkeypatch.setattr(loop, "create_connection", late)
 
 
@@ -56,6 +57,7 @@
         await turns()
         still_open = sum(not ended(held) for held in a.held)
         assert play.node.link.pools.open == still_open
+
     run_day(tmp_path, day)
 
 
@@ -75,9 +77,11 @@
         def looked(self: EngineConnection) -> bool:
             found = quiet(self)
             if self.transport and self.transport.get_extra_info("peername")[1] == int(
-                    b.address.rpartition(":")[2]):
+                b.address.rpartition(":")[2]
+            ):
                 kept.sock.close()
             return found
+
         monkeypatch.setattr(EngineConnection, "quiet", looked)
         client = play.client()
         client.say(request("c1", request_class=request_class))
@@ -86,11 +90,13 @@
             await until(lambda: a.posts + b.posts > 3, "a further attempt")
         else:
             assert await client.until(1) == [502] and b.posts == 1
+
     run_day(tmp_path, day)
 
 
 def test_an_answer_that_comes_once_more_ends_the_connections_use(tmp_path: Path) -> None:
     """Later than a kept connection has settled, and before the next request is written."""
+
     async def day(play: Day) -> None:
         a, b = play.engines
         client = play.client()
@@ -104,13 +110,15 @@
         assert len(b.held) == 2 and ended(b.held[0])
         (await b.asked(2)).sock.sendall(GOOD)
         await until(lambda: client.whole == 2, "the stream's end")
+
     run_day(tmp_path, day)
 
 
 def test_an_answer_that_comes_once_more_after_the_next_request_is_not_taken_for_its_own(
-    tmp_path: Path
+    tmp_path: Path,
 ) -> None:
     """Guards against one client's stream passed on to another. 0.03 s late, on a connection used again."""
+
     async def day(play: Day) -> None:
         a, b = play.engines
         client = play.client()
@@ -126,8 +134,11 @@
         await asyncio.sleep(LATE_AGAIN)
         prefilled.sock.sendall(READ)
         held = await b.asked(2)
-        [sent_at] = [record.time for record in play.node.core.history.of("c1")
-                     if record.event == "sent" and record.attempt == 1]
+        [sent_at] = [
+            record.time
+            for record in play.node.core.history.of("c1")
+            if record.event == "sent" and record.attempt == 1
+        ]
         if sent_at - answered_at >= RESTS:
             return  # the machine was late: it has come too late for this case
         first.sock.sendall(GOOD.replace(b"ab", b"no"))  # of the first request
@@ -136,6 +147,7 @@
             held.sock.sendall(GOOD)
             await until(lambda: other.whole == 1, "the stream's end")
         assert b'"no"' not in other.look()
+
     run_day(tmp_path, day)
 
 
@@ -154,6 +166,7 @@
         else:
             await until(lambda: b.posts == 2, "a further attempt")
         assert play.node.link.ends.total() >= 2
+
     run_day(tmp_path, day)
 
 
@@ -173,10 +186,13 @@
                 closed.append(self)
                 watch.move(watch.address, watch.port)
             made(self, transport)
+
         monkeypatch.setattr(CallProtocol, "connection_made", moved)
         watch.move(watch.address, watch.port)
-        await until(lambda: bool(closed) and bool(watch.protocols)
-                    and closed[0] not in watch.protocols.values(), "another call")
+        await until(
+            lambda: bool(closed) and bool(watch.protocols) and closed[0] not in watch.protocols.values(),
+            "another call",
+        )
         await play.agent.until_watched()
         await turns()
         assert closed[0].transport is not None and closed[0].transport.is_closing()
@@ -184,19 +200,24 @@
         play.tell(other)
         await until(lambda: "w2" in play.node.instances.rows, "the change")
         other.close()
+
     run_day(tmp_path, day)
 
 
 @pytest.mark.parametrize("reloads", [0, 2])
 def test_an_end_during_the_wait_for_the_first_list_is_an_orderly_one(tmp_path: Path, reloads: int) -> None:
     """Discovery is silent when the process starts; it is told to end, and to reload, before it is ready."""
+
     async def day() -> None:
         agent = Agent()
         agent.silent = True
         host, _, port = (await agent.open()).rpartition(":")
         path = tmp_path / "n0.json"
-        path.write_bytes(orjson.dumps({
-            "discovery": f"{host}:{port}", "limits": {"sockets": 256}, "seed": 7, "settings": settings()}))
+        path.write_bytes(
+            orjson.dumps(
+                {"discovery": f"{host}:{port}", "limits": {"sockets": 256}, "seed": 7, "settings": settings()}
+            )
+        )
         node = Node("n0", ("127.0.0.1", 0), (host, int(port)), told(path), path)
         running = asyncio.create_task(node.run())
         await until(lambda: agent.connected > 0, "the first call")
@@ -206,4 +227,5 @@
         async with asyncio.timeout(3.0):
             await running
         agent.close()
+
     asyncio.run(day())
--- a/tests/test_races_read_answered.py
+++ b/tests/test_races_read_answered.py
@@ -26,6 +26,7 @@
     def patched(self: Any, *rest: Any) -> Any:
         act(self)
         return method(self, *rest)
+
     monkeypatch.setattr(owner, name, patched)
 
 
@@ -37,6 +38,7 @@
         result = method(self, *rest)
         act(self)
         return result
+
     monkeypatch.setattr(owner, name, patched)
 
 
@@ -63,6 +65,7 @@
         await serve(play, 2)
         assert await client.until(2) == [200, 200]
         await until(lambda: client.whole == 2, "both streams")
+
     run_day(tmp_path, day)
 
 
@@ -73,9 +76,10 @@
         await play.answer(client, "c0")
         client.say(first)
         await turns()
-        client.say(request("c1")[len(first):])
+        client.say(request("c1")[len(first) :])
         assert not play.node.clients.make_room()
         await until(lambda: play.engines[0].posts == 2, "the request")
+
     run_day(tmp_path, day)
 
 
@@ -92,11 +96,13 @@
         assert not server.make_room()
         assert await half.until(1) == [503] and (await half.until_closed()).endswith(b"slow\n")
         assert await fresh.until_closed() == b""
+
     run_day(tmp_path, day)
 
 
 def test_an_answer_on_its_way_is_not_evicted(tmp_path: Path) -> None:
     """A client reads slowly: what was written for it still lies here when room is needed."""
+
     async def day(play: Day) -> None:
         client = play.client()
         await play.answer(client, "c0")
@@ -105,6 +111,7 @@
         while connection.flushed:
             connection.write(100_000 * b"x")
         assert not play.node.clients.make_room()
+
     run_day(tmp_path, day)
 
 
@@ -123,6 +130,7 @@
             client.say(HALF)
         made = play.node.clients.make_room()
         assert len(looks) == min(unread + 1, EVICTION_LOOKS) and made == (unread < EVICTION_LOOKS)
+
     run_day(tmp_path, day)
 
 
@@ -140,6 +148,7 @@
         (await play.engines[0].asked(2)).sock.sendall(READ)
         (await play.engines[1].asked(2)).sock.sendall(GOOD)
         assert await client.until(2) == [200, 200]
+
     run_day(tmp_path, day)
 
 
@@ -151,6 +160,7 @@
         play.node.clients.sweep(play.node.loop.time() + FIRST)
         await serve(play)
         assert await client.until(1) == [200]
+
     run_day(tmp_path, day)
 
 
@@ -161,6 +171,7 @@
         await turns()
         play.node.clients.sweep(play.node.loop.time() + 10 * FIRST)
         assert await client.until(1) == [408] and (await client.until_closed()).endswith(b"time\n")
+
     run_day(tmp_path, day)
 
 
@@ -176,6 +187,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The process ends. The next request comes on a connection in the moment in which its answer is over."""
+
     async def day(play: Day) -> None:
         client = play.client()
         client.say(request("c0"))
@@ -186,6 +198,7 @@
             if not said:
                 said.append(None)
                 client.say(request("c1"))
+
         before(monkeypatch, ClientConnection, "finished", ask_on)
         end = await ending(play)
         held.sock.sendall(READ)
@@ -196,6 +209,7 @@
         await until(lambda: client.whole == 2, "both streams")
         client.sock.close()
         await end
+
     run_day(tmp_path, day)
 
 
@@ -210,6 +224,7 @@
         (await play.engines[1].asked(2)).sock.sendall(GOOD)
         assert await client.until(2) == [200, 200]
         assert client.whole == 2 and (await client.until_closed()).count(b"HTTP/1.1") == 2
+
     run_day(tmp_path, day)
 
 
@@ -223,6 +238,7 @@
         assert b"<reset>" not in await client.until_closed()
         await turns()
         assert play.engines[0].posts == 1
+
     run_day(tmp_path, day)
 
 
@@ -232,6 +248,7 @@
     """A client comes between the last look at what is open and the end of listening.
 
     Seen: its connection was reset with its request unread."""
+
     async def day(play: Day) -> None:
         late: list[RawClient] = []
 
@@ -239,6 +256,7 @@
             if not late:
                 late.append(play.client())
                 late[0].say(request("c0"))
+
         before(monkeypatch, Node, "idle", come)
         end = await ending(play)
         await until(lambda: bool(late), "the last look")
@@ -246,12 +264,14 @@
         late[0].sock.close()
         await end
         assert play.engines[0].posts == 0
+
     run_day(tmp_path, day)
 
 
 def test_what_comes_later_than_clients_may_ask_is_refused(tmp_path: Path) -> None:
     """A process may be killed 0.7 s after the longest deadline: a request taken later than that after SIGTERM
     might be out then. A stream that is open when it comes is passed on to its end first."""
+
     async def day(play: Day) -> None:
         client = play.client()
         releases = asyncio.create_task(answer_releases(*play.engines))
@@ -266,6 +286,7 @@
         assert client.whole == 1 and play.engines[0].posts == 1
         client.sock.close()
         await end
+
     run_day(tmp_path, day)
 
 
@@ -274,7 +295,7 @@
         client = play.client()
         held = await play.decoding(client)
         for part in range(0, len(GOOD), 60):
-            held.sock.sendall(GOOD[part:part + 60])
+            held.sock.sendall(GOOD[part : part + 60])
             await turns(3)
             if not part:
                 end = await ending(play)
@@ -282,4 +303,5 @@
         assert all(event in client.got for event in EVENTS)
         client.sock.close()
         await end
+
     run_day(tmp_path, day)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -66,11 +66,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen before: the event loop's transports take every such error for the end of the connection."""
+
     async def day(play: Day) -> None:
         ports = {engine.listener.getsockname()[1] for engine in play.engines}
         for name in ("send", "recv"):
             refuse(monkeypatch, name, ports, play.node.listen[1])
         await serve_some(play)
+
     run_day(tmp_path, day)
 
 
@@ -111,6 +113,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """EAGAIN of connect(2): nothing is on its way, where the event loop waits for it, and finds it there."""
+
     async def day(play: Day) -> None:
         ports = {engine.listener.getsockname()[1] for engine in play.engines}
         connect, left = socket.socket.connect, 3
@@ -130,11 +133,12 @@
         await until(lambda: client.whole == 1, "the stream's end")
         assert not left
         assert all(not e.failures and not e.rests for e in play.node.core.router.engines.values())
+
     run_day(tmp_path, day)
 
 
 def test_a_descriptor_is_watched_and_forgotten_once_the_system_lets_it(
-    monkeypatch: pytest.MonkeyPatch
+    monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(select, "epoll", FailingEpoll)
     epoll = RetryingEpoll()
@@ -228,6 +232,7 @@
         transport.abort()
         there.close()
         return turns, sent
+
     monkeypatch.setattr(RetryingEpoll, "poll", counted)
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         turns, sent = runner.run(count())
--- a/tests/test_release_load.py
+++ b/tests/test_release_load.py
@@ -47,6 +47,7 @@
         reading.cancel()
         releases = sum(engine.deletes for engine in play.engines)
         assert REQUESTS / 2 <= states.total() <= releases <= EACH * states.total() + SEARCH
+
     try:
         run_day(tmp_path, day, *prefills, *decodes, sockets=1_024)
     finally:
--- a/tests/test_release_schedule.py
+++ b/tests/test_release_schedule.py
@@ -6,8 +6,7 @@
 
 from heathford.interface import HELD_ALLOWANCE, HELD_UP
 from heathford.platform.link import kept_back
-from heathford.platform.release_schedule import (
-    ASKED_MOST, REFUSED_MOST, SPACING, SPACINGS, ReleaseSchedule)
+from heathford.platform.release_schedule import ASKED_MOST, REFUSED_MOST, SPACING, SPACINGS, ReleaseSchedule
 from heathford.policy.held_state import RELEASE_TAKES, HandedOver, release_due
 
 LIMIT = 0.3  # s
--- a/tests/test_repeat_beside_silence.py
+++ b/tests/test_repeat_beside_silence.py
@@ -52,6 +52,7 @@
         engine.count(b"POST")
         mark = f"X-Call-Id: {name}\r\n".encode()
         return next((held for held in engine.held if mark in held.got), None)
+
     await until(lambda: any(holds(writer) for writer in writers), f"the attempt of {name}")
     first = next(writer for writer in writers if holds(writer))
     held = holds(first)
@@ -61,6 +62,7 @@
 
 def test_a_repeat_does_not_lie_unread_at_a_stopped_engine_while_the_first_one_runs(tmp_path: Path) -> None:
     """The first engine has run it and lost its answer; the one of the repeat is stopped."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -78,11 +80,13 @@
                         first.latest[b"POST"].sock.close()
                     await asyncio.sleep(0.005)
             assert stopped.posts == before
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
 
 
 def test_no_repeat_while_the_first_attempt_lies_unread(tmp_path: Path) -> None:
     """The first engine is stopped before it reads the attempt; the other one runs."""
+
     async def day(play: Day) -> None:
         reader, *writers = play.engines
         client = play.client()
@@ -100,11 +104,13 @@
             assert b"X-Call-Id: c1\r\n" in b"".join(held.look() for held in stopped.held) or stopped.posts
             assert other.posts == before
             await client.until(2)
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_it_is_not_repeated_though_all_engines_go_on_in_time(tmp_path: Path) -> None:
     """They answer again within the window; the client is told at once that a new try does no harm."""
+
     async def day(play: Day) -> None:
         reader, *writers = play.engines
         client = play.client()
@@ -120,11 +126,13 @@
             async with Running(*writers):
                 await asyncio.sleep(WINDOW / 3)
                 assert [writer.posts for writer in writers] == before
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_it_is_not_repeated_where_the_first_engine_is_gone(tmp_path: Path) -> None:
     """Its process has ended and reads nothing later, but a repeat elsewhere could be read late."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -140,11 +148,13 @@
             async with Running(other):
                 await asyncio.sleep(WINDOW / 3)
                 assert other.posts == before
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_a_repeat_is_not_read_late_by_an_engine_that_stops_right_after_its_answer(tmp_path: Path) -> None:
     """What is left: an engine that answers, and is stopped before the repeat which follows comes to it."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -165,4 +175,5 @@
                         first.latest[b"POST"].sock.close()
                     await asyncio.sleep(0.005)
             assert other.posts == before
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
--- a/tests/test_repeat_read_late.py
+++ b/tests/test_repeat_read_late.py
@@ -14,14 +14,21 @@
 
 def add_orders(told: dict[str, Any]) -> None:
     """A kind of request that is repeated by its key, in any zone."""
-    told["categories"].append({
-        **told["categories"][0], "name": "order", "idempotency": "guarded", "group": "all",
-        "keyTtlNs": int(WINDOW * SECOND)})
+    told["categories"].append(
+        {
+            **told["categories"][0],
+            "name": "order",
+            "idempotency": "guarded",
+            "group": "all",
+            "keyTtlNs": int(WINDOW * SECOND),
+        }
+    )
     told["familyInfo"]["tokenAimNs"].append(told["familyInfo"]["tokenAimNs"][0])
 
 
 def test_a_repeat_is_not_read_after_the_window_by_an_engine_that_was_stopped(tmp_path: Path) -> None:
     """The front node closes it, but what the engine's machine has taken is read once the engine goes on."""
+
     async def day(play: Day) -> None:
         reader, *writers = play.engines
         releases = asyncio.create_task(answer_releases(reader))
@@ -39,4 +46,5 @@
             await asyncio.sleep(0.005)
         releases.cancel()
         assert stopped.posts == 0
+
     run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -12,8 +12,9 @@
 LONGEST_BODY = 65_536
 PLAIN = b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n"
 SIZED = b"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 5\r\n\r\nhello"
-CHUNKED = (b"POST /b HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n"
-           b"3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n")
+CHUNKED = (
+    b"POST /b HTTP/1.1\r\nHost: o\r\nTransfer-Encoding: chunked\r\n\r\n3;x=1\r\nabc\r\n0\r\nT: 1\r\n\r\n"
+)
 BROKEN = b"GET /\x00 HTTP/1.1\r\n\r\n"
 
 
@@ -32,8 +33,11 @@
     return found
 
 
-@given(st.lists(st.sampled_from([PLAIN, SIZED, CHUNKED, b"\r\n" + PLAIN]), max_size=6),
-       st.lists(st.integers(0, 600), max_size=8), st.booleans())
+@given(
+    st.lists(st.sampled_from([PLAIN, SIZED, CHUNKED, b"\r\n" + PLAIN]), max_size=6),
+    st.lists(st.integers(0, 600), max_size=8),
+    st.booleans(),
+)
 def test_requests_are_the_same_wherever_they_are_split(
     parts: list[bytes], cuts: list[int], broken: bool
 ) -> None:
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -39,13 +39,16 @@
     async def within() -> None:
         async with asyncio.timeout(20.0):
             await scene()
+
     asyncio.run(within())
 
 
 # Versions.
 
-@pytest.mark.parametrize("named, version", [
-    (None, 1), ("1", 1), ("2", 2), (" 2 ", 2), ("3", 0), ("", 0), ("2.0", 0), ("-1", 0)])
+
+@pytest.mark.parametrize(
+    "named, version", [(None, 1), ("1", 1), ("2", 2), (" 2 ", 2), ("3", 0), ("", 0), ("2.0", 0), ("-1", 0)]
+)
 def test_versions_of_a_header(named: str | None, version: int) -> None:
     if version:
         assert of_header(named) == version
@@ -54,9 +57,18 @@
             of_header(named)
 
 
-@pytest.mark.parametrize("offered, version", [
-    ([], 1), (["heathford.v1"], 1), (["heathford.v1", "heathford.v2"], 2), (["chat"], 1),
-    (["heathford.v9", "heathford.v1"], 1), (["heathford.v3"], 0), (["heathford.vx", "chat"], 0)])
+@pytest.mark.parametrize(
+    "offered, version",
+    [
+        ([], 1),
+        (["heathford.v1"], 1),
+        (["heathford.v1", "heathford.v2"], 2),
+        (["chat"], 1),
+        (["heathford.v9", "heathford.v1"], 1),
+        (["heathford.v3"], 0),
+        (["heathford.vx", "chat"], 0),
+    ],
+)
 def test_versions_of_subprotocols(offered: list[str], version: int) -> None:
     if version:
         assert of_subprotocols(offered) == version
@@ -77,13 +89,21 @@
             assert answer.status_code == 400 and answer.json()["served"] == [2, 1]
             assert answer.headers["Content-Type"] == "application/problem+json"
         served.server.stop()
+
     run(scene)
 
 
-@pytest.mark.parametrize("version, effect, refused, retry", [
-    (1, Effect.IDEMPOTENT, True, None), (1, Effect.NON_IDEMPOTENT, False, None),
-    (2, Effect.IDEMPOTENT, True, "anywhere"), (2, Effect.IDEMPOTENT, False, "anywhere"),
-    (2, Effect.TOKENED, False, "never"), (2, Effect.NON_IDEMPOTENT, False, "never")])
+@pytest.mark.parametrize(
+    "version, effect, refused, retry",
+    [
+        (1, Effect.IDEMPOTENT, True, None),
+        (1, Effect.NON_IDEMPOTENT, False, None),
+        (2, Effect.IDEMPOTENT, True, "anywhere"),
+        (2, Effect.IDEMPOTENT, False, "anywhere"),
+        (2, Effect.TOKENED, False, "never"),
+        (2, Effect.NON_IDEMPOTENT, False, "never"),
+    ],
+)
 def test_both_protocols_give_the_same_guidance(
     version: int, effect: Effect, refused: bool, retry: str | None
 ) -> None:
@@ -98,12 +118,14 @@
                     call.events.first_token()
                     call.events.ended(Verdict.BROKEN, 0, {}, {})
                 await asyncio.sleep(0.005)
+
         breaking = asyncio.ensure_future(break_all())
         names = [f"heathford.v{version}"] * (version > 1)
         async with connect(served.url, subprotocols=names or None) as session:  # type: ignore[arg-type]
             assert session.subprotocol == (names[0] if names else None)
-            await session.send(json.dumps(
-                {"jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": asked}))
+            await session.send(
+                json.dumps({"jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": asked})
+            )
             data = json.loads(await session.recv())["error"]["data"]
         async with httpx.AsyncClient(base_url=f"http://127.0.0.1:{served.port}") as client:
             headers = {"Heathford-Version": str(version)} if version > 1 else {}
@@ -114,13 +136,22 @@
         assert data.get("retry") == answer.json().get("retry") == retry
         breaking.cancel()
         served.server.stop()
+
     run(scene)
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
-@pytest.mark.parametrize("said, trouble, goes_on", [
-    ("", Trouble.ABORTED, 0), ("anywhere", Trouble.ABORTED, 0), ("never", Trouble.ABORTED, None),
-    ("here", Trouble.ABORTED, 0), ("here", Trouble.REFUSED, 1), ("never", Trouble.LOST, 0)])
+@pytest.mark.parametrize(
+    "said, trouble, goes_on",
+    [
+        ("", Trouble.ABORTED, 0),
+        ("anywhere", Trouble.ABORTED, 0),
+        ("never", Trouble.ABORTED, None),
+        ("here", Trouble.ABORTED, 0),
+        ("here", Trouble.REFUSED, 1),
+        ("never", Trouble.LOST, 0),
+    ],
+)
 def test_a_client_follows_guidance_where_it_is_stricter(
     said: str, trouble: Trouble, goes_on: int | None, repeatable: bool
 ) -> None:
@@ -134,15 +165,28 @@
 
 def test_first_tries_and_tries_again_are_counted_apart() -> None:
     tries = Tries(3, 10.0)
-    seen = [tries.counts(*one) for one in (
-        (0, "a", 1.0), (0, "a", 2.0), (1, "a", 2.0), (0, "", 2.0), (0, "", 2.0), (0, "b", 3.0, 2),
-        (0, "c", 4.0), (0, "d", 5.0), (0, "a", 6.0), (0, "d", 16.0))]
+    seen = [
+        tries.counts(*one)
+        for one in (
+            (0, "a", 1.0),
+            (0, "a", 2.0),
+            (1, "a", 2.0),
+            (0, "", 2.0),
+            (0, "", 2.0),
+            (0, "b", 3.0, 2),
+            (0, "c", 4.0),
+            (0, "d", 5.0),
+            (0, "a", 6.0),
+            (0, "d", 16.0),
+        )
+    ]
     assert seen == [True, False, True, True, True, False, True, True, True, True]
     assert (tries.first, tries.again) == (8, 2) and len(tries.lately) <= 3
 
 
 # The version before: its library, and its service.
 
+
 @pytest.fixture(scope="module")
 def before(tmp_path_factory: pytest.TempPathFactory) -> Path:
     folder = tmp_path_factory.mktemp("version-1")
@@ -152,8 +196,13 @@
 
 
 def process(folder: Path, what: str) -> "subprocess.Popen[str]":
-    return subprocess.Popen([sys.executable, str(HERE / "version_1.py"), str(folder), what], text=True,
-                            stdin=subprocess.PIPE, stdout=subprocess.PIPE, cwd=folder)
+    return subprocess.Popen(
+        [sys.executable, str(HERE / "version_1.py"), str(folder), what],
+        text=True,
+        stdin=subprocess.PIPE,
+        stdout=subprocess.PIPE,
+        cwd=folder,
+    )
 
 
 @pytest.fixture(scope="module")
@@ -166,10 +215,17 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-@pytest.mark.parametrize("asked, wanted", [
-    ({}, ("finished", "tttt", 1)), ({"repeatable": False}, ("finished", "tttt", 1)),
-    ({"idempotency_key": "k"}, ("finished", "tttt", 1)), ({"model": "none"}, ("badrequest", "", 1)),
-    ({"prompt": [1, 2]}, ("finished", "tttt", 1)), ({"prompt": ""}, ("badrequest", "", 1))])
+@pytest.mark.parametrize(
+    "asked, wanted",
+    [
+        ({}, ("finished", "tttt", 1)),
+        ({"repeatable": False}, ("finished", "tttt", 1)),
+        ({"idempotency_key": "k"}, ("finished", "tttt", 1)),
+        ({"model": "none"}, ("badrequest", "", 1)),
+        ({"prompt": [1, 2]}, ("finished", "tttt", 1)),
+        ({"prompt": ""}, ("badrequest", "", 1)),
+    ],
+)
 def test_a_service_one_version_behind_the_library(
     service_before: int, kind: str, asked: dict[str, Any], wanted: tuple[str, str, int]
 ) -> None:
@@ -181,11 +237,13 @@
                 assert ("finished", found.text, found.tries) == wanted
             except BadRequest as problem:
                 assert ("badrequest", problem.text, 1) == wanted
+
     run(scene)
 
 
 # Hostile middlemen.
 
+
 class Middleman:
     """Passes bytes on, and breaks off as told: after so many bytes of the answer, or at a text in it."""
 
@@ -204,6 +262,7 @@
             while data := await reader.read(65_536):
                 out.write(data)
             out.close()
+
         going = asyncio.ensure_future(up())
         passed = b""
         while data := await there.read(65_536):
@@ -212,7 +271,7 @@
                 cut = self.after if self.after is not None else whole.find(self.at) + self.keep
                 if (self.after is not None and len(whole) > self.after) or (self.at and self.at in whole):
                     self.broken += 1
-                    writer.write(whole[len(passed):cut] if cut > len(passed) else b"")
+                    writer.write(whole[len(passed) : cut] if cut > len(passed) else b"")
                     break
                 passed = whole
             writer.write(data)
@@ -225,16 +284,26 @@
 
 
 @pytest.mark.parametrize("repeatable, ended", [(True, "finished"), (False, "finished")])
-@pytest.mark.parametrize("kind, where", [
-    ("http", {"after": 0}), ("http", {"after": 40}), ("http", {"at": b"\r\n\r\n", "keep": 4}),
-    ("http", {"at": UMLAUT, "keep": 1}), ("http", {"at": b"text\":\"", "keep": 3}),
-    ("http", {"at": b"finish_reason", "keep": 5}), ("websocket", {"at": UMLAUT, "keep": 1}),
-    ("websocket", {"at": b"completions.chunk", "keep": 2}), ("websocket", {"at": b"result", "keep": 3})])
+@pytest.mark.parametrize(
+    "kind, where",
+    [
+        ("http", {"after": 0}),
+        ("http", {"after": 40}),
+        ("http", {"at": b"\r\n\r\n", "keep": 4}),
+        ("http", {"at": UMLAUT, "keep": 1}),
+        ("http", {"at": b'text":"', "keep": 3}),
+        ("http", {"at": b"finish_reason", "keep": 5}),
+        ("websocket", {"at": UMLAUT, "keep": 1}),
+        ("websocket", {"at": b"completions.chunk", "keep": 2}),
+        ("websocket", {"at": b"result", "keep": 3}),
+    ],
+)
 def test_a_connection_cut_in_the_middle_of_anything(
     kind: str, where: dict[str, Any], repeatable: bool, ended: str
 ) -> None:
     """The key finds the answer at its front again, from the start, also where it must not run twice: the
     caller misses nothing, gets nothing twice, and nothing is dispatched twice."""
+
     async def scene() -> None:
         served = Served(Effect.NON_IDEMPOTENT)
         served.link.pace, served.link.token = 0.002, "ü"
@@ -242,13 +311,15 @@
         port = await middleman.listen()
         async with made(kind, [port], seed=1) as client:
             found: Finished = await client.complete(
-                "w", "x" * 40, max_tokens=8, repeatable=repeatable, timeout=5.0)
+                "w", "x" * 40, max_tokens=8, repeatable=repeatable, timeout=5.0
+            )
         assert (found.text, ended) == ("ü" * 8, "finished") and found.tries == 2 and middleman.broken == 1
         assert served.core.tally.taken == 1 and served.link.sent == 2
         tries = served.desk.tries
         assert (tries.first, tries.again) == (1, 1)
         middleman.server.close()
         served.server.stop()
+
     run(scene)
 
 
@@ -266,6 +337,7 @@
         assert sum(t.first for t in counts) == 1 and 1 <= sum(t.again for t in counts) <= 4
         for front in fronts:
             front.server.stop()
+
     run(scene)
 
 
@@ -281,13 +353,16 @@
             begun = asyncio.ensure_future(stream.__aiter__().__anext__())
             assert await begun == "t"
             if draining:
-                served.core.list_changed(False, [
-                    (e, 0, n % 2, 1, Health.DRAINING, 1.0, 0.0) for n, e in served.core.endpoints.items()])
+                served.core.list_changed(
+                    False,
+                    [(e, 0, n % 2, 1, Health.DRAINING, 1.0, 0.0) for n, e in served.core.endpoints.items()],
+                )
             repeat = await other.complete("w", "x", **asked)
             found = await stream.result()
         assert repeat.text == found.text == "t" * 20 and repeat.completion == found.completion
         assert served.core.tally.taken == 1 and served.link.sent == 2
         served.server.stop()
+
     run(scene)
 
 
@@ -296,9 +371,14 @@
         served = Served()
         served.link.pace = 0.002
         text, done = "", False
-        async with httpx.AsyncClient(base_url=f"http://127.0.0.1:{served.port}") as client, client.stream(
-                "POST", "/v1/completions", json={"model": "w", "prompt": "x", "max_tokens": 30,
-                                                 "stream": True}) as answer:
+        async with (
+            httpx.AsyncClient(base_url=f"http://127.0.0.1:{served.port}") as client,
+            client.stream(
+                "POST",
+                "/v1/completions",
+                json={"model": "w", "prompt": "x", "max_tokens": 30, "stream": True},
+            ) as answer,
+        ):
             assert answer.headers["Content-Type"].startswith("text/event-stream")
             async for line in answer.aiter_lines():
                 if line == "data: [DONE]":
@@ -307,14 +387,24 @@
                     text += json.loads(line.removeprefix("data: "))["choices"][0]["text"]
         assert done and text == "t" * 30
         served.server.stop()
+
     run(scene)
 
 
 # The terminal interface.
 
-@pytest.mark.parametrize("line, found", [
-    ("a", [("w", "a")]), ("a || b", [("w", "a"), ("w", "b")]), ("v: a || || c", [("v", "a"), ("w", "c")]),
-    ("x: a", [("w", "x: a")]), ("", []), ("v:", [])])
+
+@pytest.mark.parametrize(
+    "line, found",
+    [
+        ("a", [("w", "a")]),
+        ("a || b", [("w", "a"), ("w", "b")]),
+        ("v: a || || c", [("v", "a"), ("w", "c")]),
+        ("x: a", [("w", "x: a")]),
+        ("", []),
+        ("v:", []),
+    ],
+)
 def test_what_a_line_asks_for(line: str, found: list[tuple[str, str]]) -> None:
     assert prompts_of(line, ["w", "v"]) == found
 
@@ -353,4 +443,5 @@
             await pilot.press("ctrl+l")
             assert not app.board.panels
         served.server.stop()
+
     run(scene)
--- a/tests/test_session_rules.py
+++ b/tests/test_session_rules.py
@@ -21,15 +21,30 @@
 NOTHING, PING, SILENT, IDLE, SLOW = Step.NOTHING, Step.PING, Step.SILENT, Step.IDLE, Step.SLOW
 
 
-@pytest.mark.parametrize("looks, steps", [
-    ([(5, 0, 0), (20, 0, 0), (29, 0, 0), (30, 0, 0)], [NOTHING, PING, NOTHING, SILENT]),
-    ([(20, 0, 0), (25, "hears", 0), (31, 0, 0), (45, 0, 0)], [PING, None, NOTHING, PING]),
-    ([(19, "hears", 0), (38, "hears", 0), (57, "hears", 0), (76, "hears", 0), (95, "hears", 0), (100, 0, 0)],
-     [None] * 5 + [IDLE]),
-    ([(95, "hears", 0), (99, 1, 0), (110, "hears", 0), (115, 0, 0)], [None, NOTHING, None, NOTHING]),
-    ([(1, 1, 1), (5, 1, 1), (6, 1, 1)], [NOTHING, NOTHING, SLOW]),
-    ([(1, 1, 1), (5, 1, 0), (6, 1, 1), (10, 1, 1), (11, 1, 1)], [NOTHING, NOTHING, NOTHING, NOTHING, SLOW]),
-])
+@pytest.mark.parametrize(
+    "looks, steps",
+    [
+        ([(5, 0, 0), (20, 0, 0), (29, 0, 0), (30, 0, 0)], [NOTHING, PING, NOTHING, SILENT]),
+        ([(20, 0, 0), (25, "hears", 0), (31, 0, 0), (45, 0, 0)], [PING, None, NOTHING, PING]),
+        (
+            [
+                (19, "hears", 0),
+                (38, "hears", 0),
+                (57, "hears", 0),
+                (76, "hears", 0),
+                (95, "hears", 0),
+                (100, 0, 0),
+            ],
+            [None] * 5 + [IDLE],
+        ),
+        ([(95, "hears", 0), (99, 1, 0), (110, "hears", 0), (115, 0, 0)], [None, NOTHING, None, NOTHING]),
+        ([(1, 1, 1), (5, 1, 1), (6, 1, 1)], [NOTHING, NOTHING, SLOW]),
+        (
+            [(1, 1, 1), (5, 1, 0), (6, 1, 1), (10, 1, 1), (11, 1, 1)],
+            [NOTHING, NOTHING, NOTHING, NOTHING, SLOW],
+        ),
+    ],
+)
 def test_life_of_a_session(looks: list[tuple[float, Any, int]], steps: list[Step | None]) -> None:
     life = Life(PATIENCE, 0.0)
     for (now, what, slow), step in zip(looks, steps, strict=True):
@@ -156,10 +171,20 @@
     assert all(b - a == pytest.approx(window / count) for a, b in pairwise(gaps))
 
 
-@pytest.mark.parametrize("steps", [
-    [("look", b"x", 1.0, Found.NEW), ("look", b"x", 2.0, Found.OUT), ("look", b"y", 2.0, Found.CONFLICT),
-     ("end", b"x", 3.0, None), ("look", b"x", 12.9, Found.ENDED), ("look", b"x", 13.1, Found.NEW)],
-    [("look", b"x", 1.0, Found.NEW), ("drop", b"x", 2.0, None), ("look", b"y", 2.0, Found.NEW)]])
+@pytest.mark.parametrize(
+    "steps",
+    [
+        [
+            ("look", b"x", 1.0, Found.NEW),
+            ("look", b"x", 2.0, Found.OUT),
+            ("look", b"y", 2.0, Found.CONFLICT),
+            ("end", b"x", 3.0, None),
+            ("look", b"x", 12.9, Found.ENDED),
+            ("look", b"x", 13.1, Found.NEW),
+        ],
+        [("look", b"x", 1.0, Found.NEW), ("drop", b"x", 2.0, None), ("look", b"y", 2.0, Found.NEW)],
+    ],
+)
 def test_identities_are_known_while_out_and_for_a_while(steps: list[tuple[str, bytes, float, Any]]) -> None:
     table = Identities(4, 10.0)
     for what, body, now, wanted in steps:
@@ -185,6 +210,7 @@
             if ended:
                 table.end(0, key, 1.0)
         return found
+
     begin("once", Effect.NON_IDEMPOTENT, True)
     begin("marked", Effect.TOKENED, True)
     begin("free", Effect.IDEMPOTENT, True)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -27,12 +27,19 @@
         async with asyncio.timeout(20.0), connect(served.url, **(connection or {})) as client:
             await scene(served, client)
         served.server.stop()
+
     asyncio.run(run())
 
 
 def create(key: Any, **params: Any) -> str:
-    return json.dumps({"jsonrpc": "2.0", "id": key, "method": "completions.create",
-                       "params": {"model": "w", "prompt": "x" * 400, "max_tokens": 3, **params}})
+    return json.dumps(
+        {
+            "jsonrpc": "2.0",
+            "id": key,
+            "method": "completions.create",
+            "params": {"model": "w", "prompt": "x" * 400, "max_tokens": 3, **params},
+        }
+    )
 
 
 async def answer(client: ClientConnection, key: Any) -> dict[str, Any]:
@@ -64,6 +71,7 @@
                     assert said["result"]["choices"][0]["text"] == text[said["id"]] == "ttt"
                     assert said["result"]["id"].startswith("cmpl-")
         assert sorted(finals) == list(range(48)) and not served.core.live
+
     play(scene)
 
 
@@ -71,32 +79,44 @@
 def test_fragments_pings_and_deflate(compression: str | None) -> None:
     async def scene(served: Served, client: ClientConnection) -> None:
         whole = create(1)
-        await client.send(whole[n:n + 40] for n in range(0, len(whole), 40))
+        await client.send(whole[n : n + 40] for n in range(0, len(whole), 40))
         await finishes(client, 1)
         await (await client.ping())
         await client.send(create("two", prompt=[1, 2, 3]))
         await finishes(client, "two")
+
     play(scene, {"compression": compression})
 
 
-@pytest.mark.parametrize("said, code, what", [
-    ("{", -32700, "no JSON"), ("[]", -32600, "batches"), ("3", -32600, "no JSON-RPC"),
-    ('{"jsonrpc":"1.0","id":1,"method":"completions.create"}', -32600, "no JSON-RPC"),
-    ('{"jsonrpc":"2.0","id":true,"method":"completions.create"}', -32600, "id"),
-    ('{"jsonrpc":"2.0","id":1,"method":"nope"}', -32601, "allowed are completions.create"),
-    ('{"jsonrpc":"2.0","id":1,"method":"completions.create","params":[]}', -32602, "params"),
-    ('{"jsonrpc":"2.0","method":"completions.create","params":{}}', -32600, "needs an id"),
-    (create(1, model="x"), -32602, "no workload here; allowed are w"),
-    (create(1, model=3), -32602, "model"), (create(1, max_tokens=-1), -32602, "max_tokens: -1"),
-    (create(1, max_tokens=2.5), -32602, "whole number"), (create(1, max_tokens=True), -32602, "whole number"),
-    (create(1, max_tokens=5001), -32602, "1 to 5000"), (create(1, timeout=-1), -32602, "timeout"),
-    (create(1, timeout="1"), -32602, "timeout"), (create(1, user="x"), -32602, "no member"),
-    (create(1, prompt=""), -32602, "0 tokens"), (create(1, prompt=[1, -2]), -32602, "list of token ids"),
-    (create(1, prompt={"a": 1}), -32602, "prompt"), (create(1, prefix_tokens=101), -32602, "prompt's 100"),
-    (create(1, prompt_cache_key=4), -32602, "printable"),
-    (create(1, idempotency_key="a\r\nb"), -32602, "printable"),
-    (b"\x01", -32600, "messages are text"),
-])
+@pytest.mark.parametrize(
+    "said, code, what",
+    [
+        ("{", -32700, "no JSON"),
+        ("[]", -32600, "batches"),
+        ("3", -32600, "no JSON-RPC"),
+        ('{"jsonrpc":"1.0","id":1,"method":"completions.create"}', -32600, "no JSON-RPC"),
+        ('{"jsonrpc":"2.0","id":true,"method":"completions.create"}', -32600, "id"),
+        ('{"jsonrpc":"2.0","id":1,"method":"nope"}', -32601, "allowed are completions.create"),
+        ('{"jsonrpc":"2.0","id":1,"method":"completions.create","params":[]}', -32602, "params"),
+        ('{"jsonrpc":"2.0","method":"completions.create","params":{}}', -32600, "needs an id"),
+        (create(1, model="x"), -32602, "no workload here; allowed are w"),
+        (create(1, model=3), -32602, "model"),
+        (create(1, max_tokens=-1), -32602, "max_tokens: -1"),
+        (create(1, max_tokens=2.5), -32602, "whole number"),
+        (create(1, max_tokens=True), -32602, "whole number"),
+        (create(1, max_tokens=5001), -32602, "1 to 5000"),
+        (create(1, timeout=-1), -32602, "timeout"),
+        (create(1, timeout="1"), -32602, "timeout"),
+        (create(1, user="x"), -32602, "no member"),
+        (create(1, prompt=""), -32602, "0 tokens"),
+        (create(1, prompt=[1, -2]), -32602, "list of token ids"),
+        (create(1, prompt={"a": 1}), -32602, "prompt"),
+        (create(1, prefix_tokens=101), -32602, "prompt's 100"),
+        (create(1, prompt_cache_key=4), -32602, "printable"),
+        (create(1, idempotency_key="a\r\nb"), -32602, "printable"),
+        (b"\x01", -32600, "messages are text"),
+    ],
+)
 def test_bad_messages_get_their_code_and_lose_nothing(said: str | bytes, code: int, what: str) -> None:
     async def scene(served: Served, client: ClientConnection) -> None:
         await client.send(create("before"))
@@ -109,6 +129,7 @@
         await client.send(create("after"))
         await finishes(client, "after")
         assert served.core.tally.finished == 2 and not served.sockets.desk.room.held
+
     play(scene)
 
 
@@ -121,6 +142,7 @@
         served.link.held = False
         served.link.calls[0].go()
         await finishes(client, 1)
+
     play(scene)
 
 
@@ -128,17 +150,20 @@
     async def scene(served: Served, client: ClientConnection) -> None:
         served.link.held = served.link.keep = True
         await client.send(create(1))
-        await client.send(json.dumps(
-            {"jsonrpc": "2.0", "id": 2, "method": "completions.cancel", "params": {"id": 1}}))
+        await client.send(
+            json.dumps({"jsonrpc": "2.0", "id": 2, "method": "completions.cancel", "params": {"id": 1}})
+        )
         error = (await answer(client, 1))["error"]
         assert (error["code"], error["data"]["final"]) == (-32002, "aborted")
         assert (await answer(client, 2))["result"] == {"cancelled": True}
-        await client.send(json.dumps(
-            {"jsonrpc": "2.0", "id": 3, "method": "completions.cancel", "params": {"id": 1}}))
+        await client.send(
+            json.dumps({"jsonrpc": "2.0", "id": 3, "method": "completions.cancel", "params": {"id": 1}})
+        )
         assert (await answer(client, 3))["result"] == {"cancelled": False}
         while served.core.live:
             await asyncio.sleep(0)
         assert all(call.cancelled for call in served.link.calls)
+
     play(scene)
 
 
@@ -151,6 +176,7 @@
         error = (await answer(client, 2))["error"]
         assert error["code"] == -32001 and error["data"]["retry_after"] > 0
         assert len(served.core.live) == wanted
+
     play(scene, **figures)
 
 
@@ -173,6 +199,7 @@
             with pytest.raises(ConnectionClosed):
                 await third.recv()
             assert third.close_code == 1001
+
     play(scene, most=1)
 
 
@@ -185,6 +212,7 @@
             await finishes(client, 1)
             whole = (await answer(slow, 1))["result"]["choices"][0]["text"]
             assert len(whole) == 8_000_000
+
     play(scene, {"max_size": None})
 
 
@@ -200,6 +228,7 @@
             await asyncio.sleep(0)
         assert all(c.cancelled for c in served.link.calls) and served.core.tally.left == 4
         assert not served.sockets.desk.room.held and not served.sockets.desk.room.sessions
+
     play(scene)
 
 
@@ -229,12 +258,14 @@
             assert (await answer(second, 9))["error"]["code"] == -32602
             await second.send(create(10, idempotency_key="k", user="n", max_tokens=9))  # another member's
             await finishes(second, 10)
+
     play(scene)
 
 
 @pytest.mark.parametrize("figures, before", [({"most_out": 1, "most_waiting": 4}, 1), ({}, 16)])
 def test_two_with_one_key_that_both_waited_are_dispatched_once(figures: dict[str, Any], before: int) -> None:
     """Each was new when it was asked: one waits in its session, or both for their share of the front."""
+
     async def scene(served: Served, client: ClientConnection) -> None:
         served.link.held = served.link.keep = True
         async with connect(served.url) as second:
@@ -242,8 +273,11 @@
                 for key in range(before if one is client or figures else 0):
                     await one.send(create(key, timeout=3.0))
                 await one.send(create("k", idempotency_key="k", timeout=3.0, max_tokens=7))
-            while len(served.desk.shares.waiting) + sum(
-                    len(s.rpc.session.waiting.heap) for s in served.sockets.open if s.rpc) < 2:
+            while (
+                len(served.desk.shares.waiting)
+                + sum(len(s.rpc.session.waiting.heap) for s in served.sockets.open if s.rpc)
+                < 2
+            ):
                 await asyncio.sleep(0.001)
             served.link.held = False
             for call in list(served.link.calls):
@@ -251,13 +285,17 @@
             finals = [await text_of(client, "k"), await text_of(second, "k")]
             assert finals[0] == finals[1] and finals[0][0] == "ttttttt"
             assert sum(c.body["max_tokens"] == 7 for c in served.link.calls) == 2  # a read and a write
+
     play(scene, **figures)
 
 
-@pytest.mark.parametrize("effect, dispatches, tallies", [
-    (Effect.IDEMPOTENT, 4, (2, 1)), (Effect.NON_IDEMPOTENT, 2, (1, 0)), (Effect.TOKENED, 2, (1, 0))])
+@pytest.mark.parametrize(
+    "effect, dispatches, tallies",
+    [(Effect.IDEMPOTENT, 4, (2, 1)), (Effect.NON_IDEMPOTENT, 2, (1, 0)), (Effect.TOKENED, 2, (1, 0))],
+)
 def test_a_client_that_comes_again(effect: Effect, dispatches: int, tallies: tuple[int, int]) -> None:
     """What may run again ended with its client, and runs again; what must not goes on, and is joined."""
+
     async def run() -> None:
         served = Served(effect)
         served.link.pace = 0.03
@@ -277,6 +315,7 @@
         while served.held:
             await asyncio.sleep(0.001)
         served.server.stop()
+
     asyncio.run(run())
 
 
@@ -291,6 +330,7 @@
         served.link.held = False
         served.link.calls[0].go()
         await finishes(client, 1)
+
     play(scene)
 
 
@@ -311,6 +351,7 @@
             if "result" in said:
                 order.append(said["id"])
         assert order == ["out", "early", "late"]
+
     play(scene, most_out=1, most_waiting=3)
 
 
@@ -325,8 +366,9 @@
             await asyncio.sleep(0.001)
             assert served.desk.room.held < 30_000
         for key in range(2):
-            await client.send(json.dumps(
-                {"jsonrpc": "2.0", "method": "completions.cancel", "params": {"id": key}}))
+            await client.send(
+                json.dumps({"jsonrpc": "2.0", "method": "completions.cancel", "params": {"id": key}})
+            )
         served.link.held = False
         for call in list(served.link.calls):
             call.go()
@@ -334,6 +376,7 @@
         while seen < 60:
             seen += "method" not in json.loads(await client.recv())
         assert not served.desk.room.held
+
     play(scene, read_ahead=16_000, most_out=200)
 
 
@@ -354,6 +397,7 @@
             await answer(client, 1)
         writer.close()
         slow.close()
+
     play(scene, slow=0.3, ping=ping, pong=0.3)
 
 
@@ -379,6 +423,7 @@
             while True:
                 await client.recv()
         assert client.close_code == 1001 and len(set(times)) == 4 and max(times) < 0.5
+
     play(scene, window=0.5)
 
 
@@ -391,13 +436,20 @@
             await finishes(one, 1)
             await one.close()
         assert served.core.tally.taken == 1 and served.link.sent == 2
+
     play(scene)
 
 
-OPS = st.fixed_dictionaries({
-    "do": st.sampled_from([*ORDINARY, *VIOLATIONS, "cut"]), "parts": st.integers(1, 20),
-    "n": st.integers(0, 9999), "pings": st.integers(0, 2), "deflate": st.booleans(),
-    "junk": st.sampled_from([0, 7, 3000])})
+OPS = st.fixed_dictionaries(
+    {
+        "do": st.sampled_from([*ORDINARY, *VIOLATIONS, "cut"]),
+        "parts": st.integers(1, 20),
+        "n": st.integers(0, 9999),
+        "pings": st.integers(0, 2),
+        "deflate": st.booleans(),
+        "junk": st.sampled_from([0, 7, 3000]),
+    }
+)
 
 
 def test_hostile_frames_get_the_code_of_the_rfc_and_leave_nothing() -> None:
@@ -405,6 +457,7 @@
 
     async def begin() -> Served:
         return Served()
+
     served = loop.run_until_complete(begin())
 
     @settings(derandomize=True, deadline=None, max_examples=120)
@@ -412,6 +465,7 @@
     def hostile(deflate: bool, ops: Case) -> None:
         case = [{"do": "open", "deflate": deflate}, *[{**op, "n": op["n"] % 200} for op in ops]]
         assert loop.run_until_complete(play_frames(served, case)) == []
+
     hostile()
     assert loop.run_until_complete(half_closes(served, ("reset",))) == []
     served.server.stop()
@@ -427,11 +481,17 @@
         for kind in VIOLATIONS:
             if await play_frames(served, [{"do": "open", "deflate": True}, {"do": kind, "n": 1, "junk": 0}]):
                 found.add(kind)
-        if await play_frames(served, [{"do": "open", "deflate": True},
-                                      {"do": "ask", "parts": 3, "pings": 1, "deflate": True, "n": 90}]):
+        if await play_frames(
+            served,
+            [
+                {"do": "open", "deflate": True},
+                {"do": "ask", "parts": 3, "pings": 1, "deflate": True, "n": 90},
+            ],
+        ):
             found.add("ping between compressed fragments")
         served.server.stop()
         return found
+
     monkeypatch.setattr("heathford.fuzz.sessions.PATIENCE", 0.3)
     found = asyncio.run(run())
     assert {"unmasked", "bad text", "rsv", "ping between compressed fragments"} <= found
@@ -439,6 +499,7 @@
 
 def test_500_sessions_with_three_out_each_when_all_engines_break() -> None:
     """Each completion gets one final answer, by the front, however many are out or wait when all breaks."""
+
     async def run() -> None:
         served = Served(most=600, most_held=10**8)
         served.link.held = served.link.keep = True
@@ -446,8 +507,10 @@
         listening, writers = [], []
         for _ in range(500):
             reader, writer = await asyncio.open_connection("127.0.0.1", served.port)
-            writer.write(handshake("x", False) + b"".join(
-                frame(1, create(key, timeout=3.0).encode()) for key in range(3)))
+            writer.write(
+                handshake("x", False)
+                + b"".join(frame(1, create(key, timeout=3.0).encode()) for key in range(3))
+            )
             await reader.readuntil(b"\r\n\r\n")
             heard.append(Heard())
             listening.append(asyncio.ensure_future(listen(reader, heard[-1])))
@@ -470,6 +533,7 @@
             task.cancel()
             writer.transport.abort()
         served.server.stop()
+
     asyncio.run(run())
 
 
@@ -477,8 +541,9 @@
     async def scene(served: Served, client: ClientConnection) -> None:
         for key in range(300):
             await client.send(create(key))
-            await client.send(json.dumps(
-                {"jsonrpc": "2.0", "method": "completions.cancel", "params": {"id": key}}))
+            await client.send(
+                json.dumps({"jsonrpc": "2.0", "method": "completions.cancel", "params": {"id": key}})
+            )
         finals: list[int] = []
         while len(finals) < 300:
             said = json.loads(await client.recv())
@@ -487,4 +552,5 @@
         assert sorted(finals) == list(range(300))
         while served.held != "1 sessions, 1 places":
             await asyncio.sleep(0.001)
+
     play(scene)
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -21,16 +21,20 @@
     """Other names, effects swapped, fewer tries."""
     settings["categories"] = [
         {**settings["categories"][0], "name": "order", "idempotency": "single_shot"},
-        {**settings["categories"][1], "name": "suggest", "idempotency": "free"}]
+        {**settings["categories"][1], "name": "suggest", "idempotency": "free"},
+    ]
     settings["policyLimits"].update(tryLimit=2, retryAfter=False)
 
 
 def test_each_front_node_answers_by_its_own_settings(tmp_path: Path) -> None:
     """One class on both, repeatable on one alone; the other's names mean nothing here."""
+
     async def day() -> None:
         a, b, c, d = prefill("r"), decode("w"), prefill("r"), decode("w")
-        async with (front_node(tmp_path, a, b, name="n0") as one,
-                    front_node(tmp_path, c, d, name="n1", setting=other_customer) as two):
+        async with (
+            front_node(tmp_path, a, b, name="n0") as one,
+            front_node(tmp_path, c, d, name="n1", setting=other_customer) as two,
+        ):
             for play, foreign in ((one, "order"), (two, "chat")):
                 client = play.client()
                 client.say(request("f0", request_class=foreign))
@@ -50,6 +54,7 @@
             # What one learns of an engine of the same name and number is not known to the other.
             assert one.node.core.router.engines is not two.node.core.router.engines
             assert one.node.core.router.read_fit.answers == two.node.core.router.read_fit.answers == 1
+
     asyncio.run(day())
 
 
@@ -58,8 +63,12 @@
 
 
 def modules() -> list[ModuleType]:
-    names = [f"heathford.{package}.{path.stem}" for package in PACKAGES
-             for path in sorted((FOLDER / package).glob("*.py")) if path.stem != "__init__"]
+    names = [
+        f"heathford.{package}.{path.stem}"
+        for package in PACKAGES
+        for path in sorted((FOLDER / package).glob("*.py"))
+        if path.stem != "__init__"
+    ]
     return [importlib.import_module(name) for name in names]
 
 
@@ -67,8 +76,14 @@
     """What stands at the level of modules and their classes and could be changed, as it reads now."""
     found = {}
     for module in modules():
-        scopes: list[ModuleType | type] = [module, *(value for value in vars(module).values()
-                            if isinstance(value, type) and value.__module__ == module.__name__)]
+        scopes: list[ModuleType | type] = [
+            module,
+            *(
+                value
+                for value in vars(module).values()
+                if isinstance(value, type) and value.__module__ == module.__name__
+            ),
+        ]
         for scope in scopes:
             for name, value in vars(scope).items():
                 of_enum = isinstance(scope, type) and issubclass(scope, Enum)
--- a/tests/test_signals_unwoken.py
+++ b/tests/test_signals_unwoken.py
@@ -27,6 +27,7 @@
 
 def test_a_process_hears_of_signals_without_the_byte_that_wakes_its_loop(tmp_path: Path) -> None:
     """Seen before: it went on, and was killed with all that it had taken."""
+
     async def day() -> None:
         async with node_process(tmp_path, "-c", UNWOKEN) as process, asyncio.timeout(10.0):
             await until_said(process, b'"ready"')
@@ -37,4 +38,5 @@
             send_signal(process, signal.SIGTERM)
             assert await process.wait() == 0
             assert 0.6 <= monotonic() - began < 1.5
+
     asyncio.run(day())
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -29,8 +29,7 @@
 
 async def followed(agent: SlowAgent, changes: list[ListChange]) -> DiscoveryClient:
     host, _, port = (await agent.open()).rpartition(":")
-    client = DiscoveryClient(
-        host, int(port), Instances({"m0": (0, Role.READER)}, ["a"]), changes.append)
+    client = DiscoveryClient(host, int(port), Instances({"m0": (0, Role.READER)}, ["a"]), changes.append)
     client.start()
     return client
 
@@ -52,12 +51,14 @@
         assert len(changes) == 1 and changes[0].complete
         client.stop()
         agent.close()
+
     asyncio.run(day())
 
 
 @pytest.mark.parametrize("delay, within", [(0.0, GRACE), (0.5, WITHIN), (2.0, WITHIN)])
 def test_after_an_outage_the_list_is_there_in_time(delay: float, within: float) -> None:
     """What was asked while discovery was down is never answered."""
+
     async def day() -> None:
         agent = SlowAgent(engine())
         agent.silent = True
@@ -70,4 +71,5 @@
         client.stop()
         assert not client.protocols
         agent.close()
+
     asyncio.run(day())
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -114,7 +114,8 @@
     client.sock.setblocking(False)
     gives_up_at = monotonic() + BUDGET
     await asyncio.get_running_loop().sock_sendall(
-        client.sock, request(name, int(1000 * BUDGET), request_class, size=size))
+        client.sock, request(name, int(1000 * BUDGET), request_class, size=size)
+    )
     return client, gives_up_at
 
 
@@ -136,25 +137,30 @@
     tmp_path: Path, rate: int, size: int, request_class: str
 ) -> None:
     """Guards against slow taken for cut: no engine ever had such a prompt whole."""
+
     async def day(play: Day) -> None:
         async with paced(play, *4 * [steady(rate * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", size, request_class)
             assert await client.until(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
+
     run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
-@pytest.mark.parametrize("rate, size", [
-    (0.3, 250_000), (1, 250_000), (2, 250_000), (4, 250_000), (0.2, 60_000), (0.25, 30_000)])
+@pytest.mark.parametrize(
+    "rate, size", [(0.3, 250_000), (1, 250_000), (2, 250_000), (4, 250_000), (0.2, 60_000), (0.25, 30_000)]
+)
 def test_a_long_prompt_is_served_by_a_combined_engine_behind_a_slow_link(
     tmp_path: Path, rate: float, size: int
 ) -> None:
     """Guards against the same where no state sets a limit: also over links that are slower still."""
+
     async def day(play: Day) -> None:
         async with paced(play, *2 * [steady(rate * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", size)
             assert await client.until(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
+
     run_day(tmp_path, day, decode("c"), decode("c2"), setting=combined)
 
 
@@ -169,11 +175,13 @@
                 client, gives_up_at = await ask(play, f"c{number}", 250_000)
                 assert await client.until(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
+
     run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 def test_a_link_that_turns_slow_half_way(tmp_path: Path) -> None:
     """Guards against a deadline that was right for the rate known before."""
+
     def turns_slow(came: int) -> float:
         return 8 * MEGABYTE if came < 120_000 else 0.7 * MEGABYTE
 
@@ -183,14 +191,17 @@
                 client, gives_up_at = await ask(play, f"c{number}", 250_000)
                 assert await client.until(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
+
     run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 @pytest.mark.parametrize("place", [0, 1], ids=["prefill", "decode"])
 def test_a_cut_in_the_middle_of_a_send_ends_it_soon(tmp_path: Path, place: int) -> None:
     """Guards against a send that counts as slow for good."""
+
     def cut(came: int) -> float:
         return 8 * MEGABYTE if came < 100_000 else 0.0
+
     cut_ones = [play_place % 2 == place for play_place in range(2)]
 
     async def day(play: Day) -> None:
@@ -202,11 +213,13 @@
             await until(lambda: len(play.node.link.ends) > place, "its end")
             assert monotonic() < begun + CUT_SEEN_WITHIN
             assert not engines[place].arrivals
+
     run_day(tmp_path, day, prefill(), decode())
 
 
 def test_what_no_link_can_carry_in_time_is_answered_after_few_tries(tmp_path: Path) -> None:
     """Guards against as many tries as there are engines; the client is told why, and not to come again."""
+
     async def day(play: Day) -> None:
         async with paced(play, *8 * [steady(0.03 * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", 250_000)
@@ -215,4 +228,5 @@
             assert b"Retry-After" not in client.look()
             assert sum(len(engine.begun) for engine in engines) <= 2
             assert not any(engine.arrivals for engine in engines)
+
     run_day(tmp_path, day, *[prefill(f"r{n}") for n in range(4)], *[decode(f"w{n}") for n in range(4)])
--- a/tests/test_slow_send.py
+++ b/tests/test_slow_send.py
@@ -69,4 +69,5 @@
         if place:
             releases.cancel()
         assert not [late for late in arrivals if late > SLACK], arrivals
+
     run_day(tmp_path, day, *engines)
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -4,7 +4,18 @@
 
 import pytest
 from policy_fleet import (
-    BEGIN, BURST_SECONDS, CAPACITY, COLD_AT, COLD_FROM, ENGINES, LAYOUTS, MULTIPLE, WARM_AFTER, WINDOW, Fleet)
+    BEGIN,
+    BURST_SECONDS,
+    CAPACITY,
+    COLD_AT,
+    COLD_FROM,
+    ENGINES,
+    LAYOUTS,
+    MULTIPLE,
+    WARM_AFTER,
+    WINDOW,
+    Fleet,
+)
 
 LARGE = 60.0  # requests a second of a warm engine, where a budget of over 30 is wanted
 BUDGET = MULTIPLE * COLD_FROM * CAPACITY * WINDOW  # N at the coldest
@@ -26,8 +37,9 @@
     return most
 
 
-@pytest.mark.parametrize("times, most", [
-    ([], 0), ([1.0], 1), ([0.0, 0.9, 1.8], 2), ([0.0, 0.5, 0.99, 1.1], 3)])
+@pytest.mark.parametrize(
+    "times, most", [([], 0), ([1.0], 1), ([0.0, 0.9, 1.8], 2), ([0.0, 0.5, 0.99, 1.1], 3)]
+)
 def test_any_span_counts(times: list[float], most: int) -> None:
     assert most_in_a_span(times, 1.0) == most
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -23,19 +23,27 @@
 from heathford.standin.platform import Agent, settings
 
 LIMITS = Limits(
-    pin=0.3, grace=0.5, window=1.5, effects={"chat": "free", "booking": "single_shot", "order": "guarded"},
-    cold_budget=6.0, cold_window=1.0, warm_after=5.0,
-    zones={"r": "a", "w": "a", "w2": "b"})
+    pin=0.3,
+    grace=0.5,
+    window=1.5,
+    effects={"chat": "free", "booking": "single_shot", "order": "guarded"},
+    cold_budget=6.0,
+    cold_window=1.0,
+    warm_after=5.0,
+    zones={"r": "a", "w": "a", "w2": "b"},
+)
 
 
 def attempt(at: float, engine: str, said: str, told: float = 2_000.0, name: str = "c") -> list[Record]:
     """An attempt that is answered 0.05 s later."""
     role = "prefill" if engine == "r" else "decode"
-    return [Record(at, Seen.FIRST_BYTE, "", name, engine),
-            Record(at, Seen.LAST_BYTE, "", name, engine, told),
-            Record(at, Seen.DELIVERED, "", name, engine, 0.0, role),
-            Record(at + 0.05, Seen.ENGINE_SAID, "", name, engine, 0.0, said),
-            Record(at + 0.05, Seen.PASSED_ON, "", name, engine)]
+    return [
+        Record(at, Seen.FIRST_BYTE, "", name, engine),
+        Record(at, Seen.LAST_BYTE, "", name, engine, told),
+        Record(at, Seen.DELIVERED, "", name, engine, 0.0, role),
+        Record(at + 0.05, Seen.ENGINE_SAID, "", name, engine, 0.0, said),
+        Record(at + 0.05, Seen.PASSED_ON, "", name, engine),
+    ]
 
 
 def asked(
@@ -48,81 +56,159 @@
     return Record(at, Seen.ANSWERED, "n", name, "", status)
 
 
-CLEAN = [asked(), *attempt(10.0, "r", "read"), *attempt(10.1, "w", "stream"), answered(10.4, 200),
-         Record(20.0, Seen.MEASURE, "n", value=40, text="30000")]
+CLEAN = [
+    asked(),
+    *attempt(10.0, "r", "read"),
+    *attempt(10.1, "w", "stream"),
+    answered(10.4, 200),
+    Record(20.0, Seen.MEASURE, "n", value=40, text="30000"),
+]
 RELEASED = Record(10.2, Seen.RELEASED, "", "c", "r")
 WELL_READ = [asked(), *attempt(10.0, "r", "read")]
 
-LATE_READ = [asked(), *attempt(10.0, "r", "")[:3], Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
-             Record(10.11, Seen.RELEASED, "", "c", "w"),
-             Record(10.2, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read")]
+LATE_READ = [
+    asked(),
+    *attempt(10.0, "r", "")[:3],
+    Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
+    Record(10.11, Seen.RELEASED, "", "c", "w"),
+    Record(10.2, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read"),
+]
 
 BREACHES: dict[str, list[Record]] = {
     "1 one answer": [*CLEAN, answered(10.5, 502)],
     "1 one answer, lost": [asked(), Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
     "1 one answer, lost on a connection opened in time after SIGTERM": [
-        Record(9.7, Seen.ENDING, "n"), asked(),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
+        Record(9.7, Seen.ENDING, "n"),
+        asked(),
+        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+        *CLEAN[-1:],
+    ],
     "1 one answer, lost by the process that took the place of one told to end": [
-        Record(8.0, Seen.ENDING, "n"), Record(9.0, Seen.EXIT, "n", value=0), asked(),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
+        Record(8.0, Seen.ENDING, "n"),
+        Record(9.0, Seen.EXIT, "n", value=0),
+        asked(),
+        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+        *CLEAN[-1:],
+    ],
     "1 one answer, cut": [*CLEAN[:-2], Record(10.3, Seen.CUT, "n", "c"), *CLEAN[-1:]],
     "1 one answer, cut by the kill, come late": [
-        Record(9.2, Seen.ENDING, "n"), *CLEAN[:-2], Record(10.3, Seen.CUT, "n", "c"),
-        Record(10.31, Seen.EXIT, "n", value=-9), *CLEAN[-1:]],
+        Record(9.2, Seen.ENDING, "n"),
+        *CLEAN[:-2],
+        Record(10.3, Seen.CUT, "n", "c"),
+        Record(10.31, Seen.EXIT, "n", value=-9),
+        *CLEAN[-1:],
+    ],
     "1 one answer, cut before the kill": [
-        Record(9.5, Seen.ENDING, "n"), *CLEAN[:-2], Record(10.3, Seen.CUT, "n", "c"),
-        Record(10.5, Seen.EXIT, "n", value=-9), *CLEAN[-1:]],
+        Record(9.5, Seen.ENDING, "n"),
+        *CLEAN[:-2],
+        Record(10.3, Seen.CUT, "n", "c"),
+        Record(10.5, Seen.EXIT, "n", value=-9),
+        *CLEAN[-1:],
+    ],
     "1 in time": [asked(), answered(13.6, 502)],
     "2 no two out": [
-        asked(), *attempt(10.0, "r", "read")[:3], *attempt(10.1, "w", "stream"), answered(10.4, 200)],
+        asked(),
+        *attempt(10.0, "r", "read")[:3],
+        *attempt(10.1, "w", "stream"),
+        answered(10.4, 200),
+    ],
     "2 no effect twice": [*WELL_READ, *attempt(10.1, "w", "error"), *attempt(10.2, "w2", "stream")],
     "2 harmless refusals": [*WELL_READ, *attempt(10.1, "w", "error"), answered(10.3, 503)],
-    "2 repeats in window": [asked(request_class="order"), *attempt(10.0, "r", "read"),
-                            *attempt(10.1, "w", "error"), RELEASED,
-                            *attempt(11.7, "w", "stream", told=900.0)],
-    "2 repeats in group": [asked(request_class="order"), *attempt(10.0, "r", "read"),
-                           *attempt(10.1, "w", "error"), *attempt(10.3, "w2", "stream")],
+    "2 repeats in window": [
+        asked(request_class="order"),
+        *attempt(10.0, "r", "read"),
+        *attempt(10.1, "w", "error"),
+        RELEASED,
+        *attempt(11.7, "w", "stream", told=900.0),
+    ],
+    "2 repeats in group": [
+        asked(request_class="order"),
+        *attempt(10.0, "r", "read"),
+        *attempt(10.1, "w", "error"),
+        *attempt(10.3, "w2", "stream"),
+    ],
     "3 drain": [Record(9.0, Seen.DRAINED, "n", "", "w"), *CLEAN],
-    "4 cold": [Record(9.5, Seen.COLD, engine="w"), *(
-        record for number in range(17)
-        for record in [asked(request_class="chat", name=f"c{number}"),
-                       *attempt(10.0 + number / 50, "w", "stream", name=f"c{number}")])],
+    "4 cold": [
+        Record(9.5, Seen.COLD, engine="w"),
+        *(
+            record
+            for number in range(17)
+            for record in [
+                asked(request_class="chat", name=f"c{number}"),
+                *attempt(10.0 + number / 50, "w", "stream", name=f"c{number}"),
+            ]
+        ),
+    ],
     "5 held": [*WELL_READ, Record(20.0, Seen.MEASURE, "n", value=40, text="30000")],
     "5 held, released late": [*WELL_READ, Record(10.8, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
     "5 held, behind an attempt that no engine has read": [
-        *WELL_READ, *attempt(10.1, "w", "")[:2], Record(10.2, Seen.TROUBLE, "", "", "w", 2.0, "LINK_UNREAD"),
-        Record(12.0, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        *WELL_READ,
+        *attempt(10.1, "w", "")[:2],
+        Record(10.2, Seen.TROUBLE, "", "", "w", 2.0, "LINK_UNREAD"),
+        Record(12.0, Seen.RELEASED, "", "c", "w"),
+        *CLEAN[-1:],
+    ],
     "5 held, left by a release to an attempt that ended without it": [
-        *WELL_READ, *attempt(10.1, "w", "")[:3], Record(10.4, Seen.RELEASED, "", "c", "r"),
-        Record(10.6, Seen.GIVEN_UP, "", "c", "w"), *CLEAN[-1:]],
+        *WELL_READ,
+        *attempt(10.1, "w", "")[:3],
+        Record(10.4, Seen.RELEASED, "", "c", "r"),
+        Record(10.6, Seen.GIVEN_UP, "", "c", "w"),
+        *CLEAN[-1:],
+    ],
     "5 held, left by a read that ended well after it was given up": [
-        *LATE_READ, *attempt(10.3, "r2", "full"), *CLEAN[-1:]],
+        *LATE_READ,
+        *attempt(10.3, "r2", "full"),
+        *CLEAN[-1:],
+    ],
     "5 held, left by such a read while the request goes on": [
-        *LATE_READ, *attempt(10.13, "w", "error"), Record(10.15, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        *LATE_READ,
+        *attempt(10.13, "w", "error"),
+        Record(10.15, Seen.RELEASED, "", "c", "w"),
+        *CLEAN[-1:],
+    ],
     "1 one answer, read and lost": [
-        asked(request_class="chat"), *attempt(10.0, "r", "error"),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "reused"), RELEASED, *CLEAN[-1:]],
-    "client gone": [asked(), Record(10.01, Seen.LEFT, "n", "c"), *attempt(10.2, "r", "read"),
-                    Record(10.3, Seen.RELEASED, "", "c", "r")],
-    "deadline told": [asked(budget=1_000.0), *attempt(10.0, "r", "read", told=1_250.0),
-                      *attempt(10.1, "w", "stream", told=800.0), answered(10.4, 200)],
+        asked(request_class="chat"),
+        *attempt(10.0, "r", "error"),
+        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "reused"),
+        RELEASED,
+        *CLEAN[-1:],
+    ],
+    "client gone": [
+        asked(),
+        Record(10.01, Seen.LEFT, "n", "c"),
+        *attempt(10.2, "r", "read"),
+        Record(10.3, Seen.RELEASED, "", "c", "r"),
+    ],
+    "deadline told": [
+        asked(budget=1_000.0),
+        *attempt(10.0, "r", "read", told=1_250.0),
+        *attempt(10.1, "w", "stream", told=800.0),
+        answered(10.4, 200),
+    ],
     "event held back": [*CLEAN, Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.4)],
     "event held back, beside a link that was late": [
-        *CLEAN, Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.5, "1.0")],
+        *CLEAN,
+        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.5, "1.0"),
+    ],
     "event held back, beside another event that its link held back": [
-        *CLEAN, Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.9, "2.0")],
+        *CLEAN,
+        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.9, "2.0"),
+    ],
     "event held back, under short reads": [
-        *CLEAN, Record(10.0, Seen.TROUBLE, "n", value=1.0, text="RECV_SHORT"),
-        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.4)],
+        *CLEAN,
+        Record(10.0, Seen.TROUBLE, "n", value=1.0, text="RECV_SHORT"),
+        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.4),
+    ],
     "bad client": [*CLEAN, Record(14.0, Seen.WAITED, "n", value=3.1)],
     "crash": [*CLEAN, Record(12.0, Seen.EXIT, "n", value=1, text="unexpected")],
     "log": [*CLEAN, Record(12.0, Seen.LOG, "n", text="Traceback")],
     "log, answered by the last resort": [
-        asked(), answered(13.2, 502),
-        Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}')],
+        asked(),
+        answered(13.2, 502),
+        Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
+    ],
     "descriptors": [*CLEAN, Record(30.0, Seen.MEASURE, "n", value=170, text="30000")],
     "memory": [*CLEAN, Record(30.0, Seen.MEASURE, "n", value=40, text="80000")],
 }
@@ -141,34 +227,71 @@
     assert judged(BREACHES[name]) == {name.partition(",")[0]}
 
 
-@pytest.mark.parametrize("records", [
-    [*WELL_READ, Record(10.6, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
-    [*WELL_READ, *attempt(10.1, "w", "full"), *attempt(10.2, "w2", "stream"), answered(10.6, 200)],
-    [asked(request_class="order"), *attempt(10.0, "r", "read"), *attempt(10.1, "w", "error"),
-     RELEASED, *attempt(11.4, "w", "stream", told=900.0)],
-    [Record(10.0, Seen.DRAINED, "n", "", "w"), *CLEAN],
-    [asked(), Record(10.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"), answered(14.0, 502)],
-    [*CLEAN, Record(12.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"),
-     Record(14.0, Seen.WAITED, "n", value=3.9)],
-    [asked(), Record(10.1, Seen.TROUBLE, "n", value=0.1, text="KILL"),
-     Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new")],
-    [asked(), Record(10.2, Seen.LOST, "n", "c", "", 0.0, "reused")],
-    [asked(), answered(13.1, 502),
-     Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}')],
-    [asked(), Record(10.1, Seen.TROUBLE, "n", value=1.0, text="CROWD"),
-     Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new")],
-    [Record(9.5, Seen.ENDING, "n"), asked(),
-     Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
-    [*CLEAN, Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-     Record(10.3, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.8, "1.0")],
-    [*LATE_READ, Record(10.7, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
-    [asked(), *attempt(10.0, "r", "")[:2], Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
-     Record(12.0, Seen.DELIVERED, "", "c", "r", 0.0, "prefill"),
-     Record(12.1, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read"), *CLEAN[-1:]],
-    [*LATE_READ, *attempt(10.25, "w", "stream"), answered(10.4, 200), *CLEAN[-1:]],
-    [Record(9.5, Seen.ENDING, "n"), *CLEAN[:-2], Record(10.3, Seen.CUT, "n", "c"),
-     Record(10.31, Seen.EXIT, "n", value=-9), *CLEAN[-1:]],
-])
+@pytest.mark.parametrize(
+    "records",
+    [
+        [*WELL_READ, Record(10.6, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [*WELL_READ, *attempt(10.1, "w", "full"), *attempt(10.2, "w2", "stream"), answered(10.6, 200)],
+        [
+            asked(request_class="order"),
+            *attempt(10.0, "r", "read"),
+            *attempt(10.1, "w", "error"),
+            RELEASED,
+            *attempt(11.4, "w", "stream", told=900.0),
+        ],
+        [Record(10.0, Seen.DRAINED, "n", "", "w"), *CLEAN],
+        [asked(), Record(10.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"), answered(14.0, 502)],
+        [
+            *CLEAN,
+            Record(12.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"),
+            Record(14.0, Seen.WAITED, "n", value=3.9),
+        ],
+        [
+            asked(),
+            Record(10.1, Seen.TROUBLE, "n", value=0.1, text="KILL"),
+            Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new"),
+        ],
+        [asked(), Record(10.2, Seen.LOST, "n", "c", "", 0.0, "reused")],
+        [
+            asked(),
+            answered(13.1, 502),
+            Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
+        ],
+        [
+            asked(),
+            Record(10.1, Seen.TROUBLE, "n", value=1.0, text="CROWD"),
+            Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new"),
+        ],
+        [
+            Record(9.5, Seen.ENDING, "n"),
+            asked(),
+            Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+            *CLEAN[-1:],
+        ],
+        [
+            *CLEAN,
+            Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+            Record(10.3, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.8, "1.0"),
+        ],
+        [*LATE_READ, Record(10.7, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [
+            asked(),
+            *attempt(10.0, "r", "")[:2],
+            Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
+            Record(12.0, Seen.DELIVERED, "", "c", "r", 0.0, "prefill"),
+            Record(12.1, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read"),
+            *CLEAN[-1:],
+        ],
+        [*LATE_READ, *attempt(10.25, "w", "stream"), answered(10.4, 200), *CLEAN[-1:]],
+        [
+            Record(9.5, Seen.ENDING, "n"),
+            *CLEAN[:-2],
+            Record(10.3, Seen.CUT, "n", "c"),
+            Record(10.31, Seen.EXIT, "n", value=-9),
+            *CLEAN[-1:],
+        ],
+    ],
+)
 def test_what_the_rules_allow_is_no_breach(records: list[Record]) -> None:
     assert judged(records) == set()
 
@@ -188,8 +311,11 @@
 
 
 def test_troubles_that_touch_are_pairs() -> None:
-    troubles = (Trouble(Kind.KILL, 0, 1.0, 0.5), Trouble(Kind.RELOAD, 0, 1.5 + TOUCH / 2, 0.1),
-                Trouble(Kind.CLOCK, 0, 3.0, 0.1))
+    troubles = (
+        Trouble(Kind.KILL, 0, 1.0, 0.5),
+        Trouble(Kind.RELOAD, 0, 1.5 + TOUCH / 2, 0.1),
+        Trouble(Kind.CLOCK, 0, 3.0, 0.1),
+    )
     assert Plan(1, 5.0, troubles).pairs == {frozenset({Kind.KILL, Kind.RELOAD})}
 
 
@@ -235,12 +361,14 @@
         writer.close()
         relay.close()
         server.close()
+
     asyncio.run(day())
 
 
 def test_no_reload_comes_before_the_pages_allow_one(tmp_path: Path) -> None:
     """The pages: SIGHUP never in a process's first second, nor before it is ready. One that
     came as Python was still starting ended a front node, on a machine that was slower than usual."""
+
     async def day() -> list[Record]:
         agent = Agent()
         seen: list[Record] = []
@@ -259,6 +387,7 @@
             await front.stop()
             agent.close()
         return seen
+
     assert [record for record in asyncio.run(day()) if record.text] == []
 
 
@@ -282,6 +411,7 @@
         assert front.reading
         await front.reading
         await front.stop()
+
     seen: list[Record] = []
     asyncio.run(day())
     [breach] = Oracle(seen, LIMITS).judge()
@@ -291,9 +421,21 @@
 def test_a_soak_that_is_told_to_end_leaves_no_front_node_behind(tmp_path: Path) -> None:
     async def day() -> None:
         soak = await asyncio.create_subprocess_exec(
-            sys.executable, "-m", "heathford", "soak", "faults", "--seeds", "1", "--fronts", "2",
-            "--report", str(tmp_path), cwd=Path(__file__).parent.parent,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-m",
+            "heathford",
+            "soak",
+            "faults",
+            "--seeds",
+            "1",
+            "--fronts",
+            "2",
+            "--report",
+            str(tmp_path),
+            cwd=Path(__file__).parent.parent,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         children = Path(f"/proc/{soak.pid}/task/{soak.pid}/children")
         async with asyncio.timeout(20.0):
             while len(started := children.read_text().split()) < 2:
@@ -302,6 +444,7 @@
             await soak.communicate()
             while any(Path(f"/proc/{front}").exists() for front in started):
                 await asyncio.sleep(0.05)
+
     asyncio.run(day())
 
 
@@ -319,17 +462,26 @@
 
 def test_a_soak_that_is_told_to_end_amid_a_start_leaves_no_front_node_behind(tmp_path: Path) -> None:
     """Guards against a front node that nobody knows of: it went on, and kept the soak's output open."""
+
     async def day() -> None:
         soak = await asyncio.create_subprocess_exec(
-            sys.executable, "-c", ENDED_AMID_A_START, str(tmp_path), cwd=Path(__file__).parent.parent,
-            stdout=asyncio.subprocess.PIPE, stderr=asyncio.subprocess.PIPE)
+            sys.executable,
+            "-c",
+            ENDED_AMID_A_START,
+            str(tmp_path),
+            cwd=Path(__file__).parent.parent,
+            stdout=asyncio.subprocess.PIPE,
+            stderr=asyncio.subprocess.PIPE,
+        )
         async with asyncio.timeout(20.0):
             await soak.communicate()  # until nobody has its output open
+
     asyncio.run(day())
 
 
 def test_the_port_of_a_day_s_relay_is_kept_while_nobody_listens(tmp_path: Path) -> None:
     """Seen in CI: an engine that came back after a restart met "address already in use"."""
+
     async def day() -> None:
         relay = tap.Relay(Recording(tmp_path / "recording"), "f", "e")
         await relay.listen()
@@ -338,4 +490,5 @@
             other.bind(("127.0.0.1", relay.port))
         await relay.set_dead(False)
         relay.close()
+
     asyncio.run(day())
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -28,12 +28,12 @@
     return engine
 
 
-
 @pytest.mark.parametrize("request_class", ["chat", "booking"])
 def test_a_decode_attempt_that_never_arrives_does_not_hold_what_prefill_left(
     tmp_path: Path, request_class: str
 ) -> None:
     """Guards against a send that has not arrived and stops the clock of what prefill holds."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -42,19 +42,21 @@
         read_at = time.monotonic()
         await until(lambda: reader.deletes > 0, "the release")
         assert time.monotonic() - read_at <= LIMIT + ALLOWANCE
+
     run_day(tmp_path, day, prefill(), deaf_decode())
 
 
-@pytest.mark.parametrize("verdict", [
-    Verdict.UNARRIVED, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.CROWDED])
+@pytest.mark.parametrize("verdict", [Verdict.UNARRIVED, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.CROWDED])
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_attempts_that_reach_nobody_do_not_restart_the_clock(
     instance: Callable[..., Instance], monkeypatch: pytest.MonkeyPatch, effect: Effect, verdict: Verdict
 ) -> None:
     """Each attempt is given up when the core looks."""
+
     def look(out: Out) -> Arrival:
         out.events.ended(verdict, 0, {}, {})
         return Arrival.UNSENT
+
     monkeypatch.setattr(Out, "give_up_unless_arrived", look)
     i = instance(effect)
     i.engines((10, 0), (12, 1), (13, 1), (14, 1))
@@ -75,7 +77,7 @@
 
 
 def test_connections_that_break_before_anything_is_confirmed_do_not_restart_the_clock(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     i = instance(Effect.IDEMPOTENT)
     i.engines((10, 0), (12, 1), (13, 1), (14, 1))
@@ -90,6 +92,7 @@
 
 def test_a_release_that_overtakes_the_read_it_is_for_is_said_once_more(tmp_path: Path) -> None:
     """The client leaves, the attempt is closed, and the release is read before the prefill ends well."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -100,11 +103,13 @@
         released_at = time.monotonic()
         await until(lambda: reader.deletes == 2, "a second release")
         assert time.monotonic() - released_at < LIMIT
+
     run_day(tmp_path, day)
 
 
 def test_a_release_is_not_said_again_once_another_attempt_is_out(tmp_path: Path) -> None:
     """It names the request, and would take what that attempt leaves."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -115,11 +120,13 @@
         await writer.asked()
         await asyncio.sleep(LIMIT)
         assert reader.deletes + writer.deletes == 1
+
     run_day(tmp_path, day)
 
 
 def test_what_the_kernel_holds_of_an_attempt_given_up_is_never_delivered(tmp_path: Path) -> None:
     """The engine reads on after we have let go: what comes then must not be a whole request."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -135,6 +142,7 @@
             pass
         assert 0 < got < LARGE
         sock.close()
+
     run_day(tmp_path, day, prefill(), deaf_decode())
 
 
@@ -193,14 +201,15 @@
     assert i.link.released == [i.link.out[0].name]
 
 
-@pytest.mark.parametrize("effect, again", [
-    (Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)])
+@pytest.mark.parametrize(
+    "effect, again", [(Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)]
+)
 def test_where_its_engine_is_silent_as_well_a_request_that_may_be_repeated_is_read_anew(
     instance: Callable[..., Instance], effect: Effect, again: bool
 ) -> None:
     i = behind_attempt(instance, effect)
     i.loop.pass_time(DUE + 0.01)
-    (engine, told), = i.link.life_asked
+    ((engine, told),) = i.link.life_asked
     assert engine == i.link.out[1].engine
     told(False)
     i.loop.turn()
@@ -210,7 +219,7 @@
 
 
 def test_a_keyed_one_is_read_anew_once_its_silent_engine_tells_that_it_has_not_run(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     """Silence is no reason to repeat it: what lies at that engine may be read after the window of its key."""
     i = behind_attempt(instance, Effect.TOKENED)
@@ -224,9 +233,7 @@
 
 
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
-def test_an_engine_that_answers_keeps_the_attempt(
-    instance: Callable[..., Instance], effect: Effect
-) -> None:
+def test_an_engine_that_answers_keeps_the_attempt(instance: Callable[..., Instance], effect: Effect) -> None:
     i = behind_attempt(instance, effect)
     i.loop.pass_time(DUE + 0.01)
     i.link.life_asked[0][1](True)
@@ -273,6 +280,7 @@
     tmp_path: Path, part: bytes
 ) -> None:
     """The engine has read the prompt and holds the state; the rest of its answer never comes."""
+
     async def day(play: Day) -> None:
         reader = play.engines[0]
         client = play.client()
@@ -281,11 +289,13 @@
         began = time.monotonic()
         await until(lambda: reader.deletes > 0, "the release")
         assert time.monotonic() - began <= LIMIT + ALLOWANCE - HELD_UP
+
     run_day(tmp_path, day)
 
 
 def test_a_release_is_heard_by_all_who_asked_and_goes_on_where_answers_are_lost(tmp_path: Path) -> None:
     """The holder reads the DELETE, and its 204 is lost: another engine is asked beside it."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         heard = ReleaseHeard(), ReleaseHeard()
@@ -300,6 +310,7 @@
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert reader.deletes == writer.deletes == 1
         assert heard[1].told[-1].startswith("confirmed") and heard[0].told[-1] == heard[1].told[-1]
+
     run_day(tmp_path, day)
 
 
@@ -314,11 +325,12 @@
         (await reader.asked(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert [line.partition(" ")[0] for line in heard.told] == ["asked", "confirmed"]
+
     run_day(tmp_path, day)
 
 
 def test_a_prefill_attempt_that_is_turned_away_in_pieces_holds_nothing(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     i = instance()
     i.engines((10, 0), (12, 1))
@@ -346,6 +358,7 @@
 
 def test_an_attempt_behind_a_release_that_nobody_confirms_ends_with_its_time(tmp_path: Path) -> None:
     """Seen in the soak, eight of ten engines silent: it was answered by the last resort, as late."""
+
     async def day(play: Day) -> None:
         client = play.client()
         client.say(request("c0", budget=500))
@@ -354,6 +367,7 @@
         assert await client.until(1) == [503]
         assert time.monotonic() - began < 0.5
         assert play.node.core.tally.late == 0
+
     run_day(tmp_path, day)
 
 
@@ -366,11 +380,12 @@
         asked = reader.deletes
         await until(lambda: reader.deletes > asked, "another")
         assert play.node.link.unreleased == 1
+
     run_day(tmp_path, day)
 
 
 def test_a_state_counts_as_taken_once_its_attempt_streams_though_nobody_confirmed_the_release(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     """The fixture sees no broken rule."""
     i = behind_attempt(instance, Effect.IDEMPOTENT)
@@ -383,6 +398,7 @@
 
 def test_where_most_engines_are_silent_the_one_that_runs_is_found_in_time(tmp_path: Path) -> None:
     """Eight of nine say nothing, and nothing tells which: seen in the soak, two roles silent at once."""
+
     async def day(play: Day) -> None:
         running = play.engines[-1]
         heard = ReleaseHeard()
@@ -392,8 +408,13 @@
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert time.monotonic() - began < ALLOWANCE - HELD_UP + 0.1
         assert heard.told[-1].startswith("confirmed")
-    run_day(tmp_path, day, *(prefill(f"r{number}") for number in range(4)),
-            *(decode(f"w{number}") for number in range(5)))
+
+    run_day(
+        tmp_path,
+        day,
+        *(prefill(f"r{number}") for number in range(4)),
+        *(decode(f"w{number}") for number in range(5)),
+    )
 
 
 def test_the_engine_heard_last_is_asked_first_after_a_silent_holder(tmp_path: Path) -> None:
@@ -412,6 +433,7 @@
         heard_last.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert sum(engine.deletes for engine in others) == 0
+
     try:
         run_day(tmp_path, day)
     finally:
@@ -419,8 +441,10 @@
             engine.close()
 
 
-@pytest.mark.parametrize("verdict, detail", [
-    (Verdict.FULL, 0), (Verdict.FULL, 1), (Verdict.ERROR, 0), (Verdict.TIMED_OUT, 0), (Verdict.BROKEN, 0)])
+@pytest.mark.parametrize(
+    "verdict, detail",
+    [(Verdict.FULL, 0), (Verdict.FULL, 1), (Verdict.ERROR, 0), (Verdict.TIMED_OUT, 0), (Verdict.BROKEN, 0)],
+)
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_what_a_release_left_to_an_attempt_is_released_when_that_ends(
     instance: Callable[..., Instance], effect: Effect, verdict: Verdict, detail: int
@@ -436,7 +460,7 @@
 
 
 def test_what_a_release_left_to_an_attempt_is_released_when_its_client_leaves(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     i = behind_attempt(instance, Effect.IDEMPOTENT)
     i.loop.pass_time(DUE + 0.01)
@@ -446,7 +470,7 @@
 
 
 def test_an_attempt_that_streams_after_the_release_leaves_nothing_to_release(
-    instance: Callable[..., Instance]
+    instance: Callable[..., Instance],
 ) -> None:
     i = behind_attempt(instance, Effect.IDEMPOTENT)
     i.loop.pass_time(DUE + 0.01)
@@ -464,11 +488,10 @@
     (await reader.asked(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
 
 
-def test_what_an_unclear_prefill_leaves_late_is_released_once_another_attempt_streams(
-    tmp_path: Path
-) -> None:
+def test_what_an_unclear_prefill_leaves_late_is_released_once_another_attempt_streams(tmp_path: Path) -> None:
     """Guards against a state that the first prefill engine leaves after the release, while the request goes
     on elsewhere: a release then would take what the second one leaves."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -476,6 +499,7 @@
         (await reader.asked(2)).sock.sendall(READ)
         (await writer.asked()).sock.sendall(GOOD)
         await until(lambda: reader.deletes + writer.deletes > 1, "a release after the first event")
+
     run_day(tmp_path, day)
 
 
@@ -487,11 +511,13 @@
         await reader.asked(2)
         client.leave("closed")
         await until(lambda: reader.deletes + writer.deletes > 1, "a release after the client has left")
+
     run_day(tmp_path, day)
 
 
 def test_what_an_unclear_prefill_leaves_late_is_released_after_a_refusal(tmp_path: Path) -> None:
     """The second prefill engine turns the request away, so nothing of the second attempt is unclear."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -499,13 +525,15 @@
         (await reader.asked(2)).sock.sendall(WORDS["full"])
         await client.until(1)
         await until(lambda: reader.deletes + writer.deletes > 1, "a release after the final answer")
+
     run_day(tmp_path, day)
 
 
 def test_a_release_that_follows_an_unclear_prefill_is_said_for_as_long_as_that_may_run_on(
-    tmp_path: Path
+    tmp_path: Path,
 ) -> None:
     """Its engine may be cut off, so that it neither sees the close nor ends soon."""
+
     async def day(play: Day) -> None:
         reader, writer = play.engines
         client = play.client()
@@ -517,4 +545,5 @@
         await until(lambda: reader.deletes + writer.deletes > 3, "further releases")
         answering.cancel()
         assert 1.0 <= time.monotonic() - since <= 2.5
+
     run_day(tmp_path, day)
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -18,8 +18,18 @@
 from heathford.store.decisions import RETRY, SLOW, Clock, Health, State, Trouble, compacts, droppable
 from heathford.store.files import LockedError, RealFiles
 from heathford.store.format import (
-    BEFORE, HEADER, LOG, SNAPSHOT, Change, FormatError, Record, decode_changes, encode_changes, encode_record,
-    header, read_header,
+    BEFORE,
+    HEADER,
+    LOG,
+    SNAPSHOT,
+    Change,
+    FormatError,
+    Record,
+    decode_changes,
+    encode_changes,
+    encode_record,
+    header,
+    read_header,
 )
 from heathford.store.journal import DamageError, Journal, JournalError, Segment, recover
 from heathford.store.store import ConflictError, Store, StoreError
@@ -56,9 +66,13 @@
     def batch(self) -> tuple[Change, ...]:
         chance = self.chance
         return tuple(
-            Change(chance.choice("ab"), b"k%d" % chance.randrange(6),
-                   None if chance.random() < 0.2 else bytes([chance.randrange(256)]) * chance.randrange(40))
-            for _ in range(chance.randrange(1, 4)))
+            Change(
+                chance.choice("ab"),
+                b"k%d" % chance.randrange(6),
+                None if chance.random() < 0.2 else bytes([chance.randrange(256)]) * chance.randrange(40),
+            )
+            for _ in range(chance.randrange(1, 4))
+        )
 
     def write(self) -> None:
         """A group of writes; some on disk whole once it is acknowledged, else perhaps the first of them."""
@@ -107,6 +121,7 @@
                 nonlocal count
                 count += 1
                 return -1 if count == at else 0
+
             disk.fail = dies
             with contextlib.suppress(CrashError):
                 opened(disk).write([((), 0.0)])
@@ -131,6 +146,7 @@
                     nonlocal left
                     left -= 1
                     return code if left == 0 and call not in ("read", "names") else 0
+
                 self.disk.fail = fails
             try:
                 self.write() if what < 0.6 else self.step()
@@ -166,15 +182,21 @@
 def without_sync(monkeypatch: pytest.MonkeyPatch) -> None:
     """A group is acknowledged before its sync."""
     true = Disk.sync
-    monkeypatch.setattr(Disk, "sync", lambda self, name: (
-        None if name.startswith("log") and len(self.files[name].now) > HEADER.size else true(self, name)))
+    monkeypatch.setattr(
+        Disk,
+        "sync",
+        lambda self, name: (
+            None if name.startswith("log") and len(self.files[name].now) > HEADER.size else true(self, name)
+        ),
+    )
 
 
 def renamed_first(monkeypatch: pytest.MonkeyPatch) -> None:
     """A snapshot gets its name before its content is on disk."""
     true = Disk.sync
-    monkeypatch.setattr(Disk, "sync", lambda self, name: (
-        None if name.endswith(".new") else true(self, name)))
+    monkeypatch.setattr(
+        Disk, "sync", lambda self, name: (None if name.endswith(".new") else true(self, name))
+    )
 
 
 def names_unsynced(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,6 +218,7 @@
                     spaces.setdefault(space, []).append(Change(space, key, value))
                 self.view = View().after([c for part in spaces.values() for c in part], view.sequence, 0.0)
                 self.maybe = []
+
     monkeypatch.setattr(Modelled, "write", write)
 
 
@@ -210,17 +233,22 @@
         except JournalError:
             self.segment = segment or self.segment
             raise
+
     monkeypatch.setattr(Journal, "write", write)
 
 
 def dropped_early(monkeypatch: pytest.MonkeyPatch) -> None:
     """Log is removed that no snapshot covers."""
-    monkeypatch.setattr(journal_module, "droppable", lambda snapshots, firsts: (
-        [], list(range(len(firsts) - 1)) if snapshots else []))
+    monkeypatch.setattr(
+        journal_module,
+        "droppable",
+        lambda snapshots, firsts: ([], list(range(len(firsts) - 1)) if snapshots else []),
+    )
 
 
-@pytest.mark.parametrize("bug", [
-    without_sync, renamed_first, names_unsynced, swapped_early, written_again, dropped_early])
+@pytest.mark.parametrize(
+    "bug", [without_sync, renamed_first, names_unsynced, swapped_early, written_again, dropped_early]
+)
 def test_the_model_finds_each_seeded_bug(
     monkeypatch: pytest.MonkeyPatch, bug: Callable[[pytest.MonkeyPatch], None]
 ) -> None:
@@ -238,9 +266,13 @@
     assert tried > 1000 and told > 50
 
 
-@pytest.mark.parametrize("where, damage, torn", [
-    (lambda size: (size - 3, size), False, True),
-    (lambda size: (HEADER.size + 5, HEADER.size + 6), True, False)])
+@pytest.mark.parametrize(
+    "where, damage, torn",
+    [
+        (lambda size: (size - 3, size), False, True),
+        (lambda size: (HEADER.size + 5, HEADER.size + 6), True, False),
+    ],
+)
 def test_a_broken_end_is_torn_and_a_broken_middle_is_damage(
     where: Callable[[int], tuple[int, int]], damage: bool, torn: bool
 ) -> None:
@@ -261,8 +293,13 @@
 
 def test_a_store_of_the_version_before_opens() -> None:
     disk = Disk(random.Random(1))
-    disk.append(Segment(1, 1).name, header(LOG, 1, version=BEFORE) + b"".join(
-        encode_record(Record(n, n - 1, 0.0, (Change("s", b"%d" % n, b"old"),)), BEFORE) for n in (1, 2, 3)))
+    disk.append(
+        Segment(1, 1).name,
+        header(LOG, 1, version=BEFORE)
+        + b"".join(
+            encode_record(Record(n, n - 1, 0.0, (Change("s", b"%d" % n, b"old"),)), BEFORE) for n in (1, 2, 3)
+        ),
+    )
     assert len(recover(disk).grown.view()) == 3
     with pytest.raises(FormatError):
         encode_changes([Change("s", b"k", b"v", 1.0)], BEFORE)
@@ -272,10 +309,19 @@
         read_header(header(SNAPSHOT, 1, version=9), SNAPSHOT)
 
 
-@given(st.lists(st.tuples(st.text(max_size=20), st.binary(max_size=30), st.none() | st.binary(max_size=50),
-                          st.none() | st.floats(0, 1e9)), max_size=10))
+@given(
+    st.lists(
+        st.tuples(
+            st.text(max_size=20),
+            st.binary(max_size=30),
+            st.none() | st.binary(max_size=50),
+            st.none() | st.floats(0, 1e9),
+        ),
+        max_size=10,
+    )
+)
 def test_changes_are_read_as_they_were_written(
-    parts: list[tuple[str, bytes, bytes | None, float | None]]
+    parts: list[tuple[str, bytes, bytes | None, float | None]],
 ) -> None:
     changes = tuple(Change(s, k, v, None if v is None else u) for s, k, v, u in parts)
     assert decode_changes(encode_changes(changes)) == changes
@@ -287,10 +333,18 @@
         assert encode_changes(decode_changes(data))[:1] == data[:1]
 
 
-@pytest.mark.parametrize("snapshots, firsts, gone", [
-    ([], [1], ([], [])), ([5], [1, 6], ([], [])), ([5, 9], [1, 6], ([], [0])), ([5, 9], [1, 7], ([], [])),
-    ([2, 5, 9], [1, 3, 6, 8], ([2], [0, 1])), ([5, 9], [1, 4, 4, 6], ([], [0, 1, 2])),
-    ([5, 9], [3], ([], []))])
+@pytest.mark.parametrize(
+    "snapshots, firsts, gone",
+    [
+        ([], [1], ([], [])),
+        ([5], [1, 6], ([], [])),
+        ([5, 9], [1, 6], ([], [0])),
+        ([5, 9], [1, 7], ([], [])),
+        ([2, 5, 9], [1, 3, 6, 8], ([2], [0, 1])),
+        ([5, 9], [1, 4, 4, 6], ([], [0, 1, 2])),
+        ([5, 9], [3], ([], [])),
+    ],
+)
 def test_what_may_go(snapshots: list[int], firsts: list[int], gone: Any) -> None:
     assert droppable(snapshots, firsts) == gone
 
@@ -313,10 +367,14 @@
     assert not compacts(1 << 30, 0, State.FULL) and compacts(1 << 30, 0, State.OPEN)
 
 
-@pytest.mark.parametrize("latest, looks, times", [
-    (0.0, [(100.0, 1.0), (101.0, 2.0)], [100.0, 101.0]),
-    (500.0, [(100.0, 1.0), (101.0, 2.0), (600.0, 3.0)], [500.0, 501.0, 502.0]),  # set back between starts
-    (0.0, [(100.0, 1.0), (50.0, 2.0), (51.0, 3.0)], [100.0, 101.0, 102.0])])  # and in service
+@pytest.mark.parametrize(
+    "latest, looks, times",
+    [
+        (0.0, [(100.0, 1.0), (101.0, 2.0)], [100.0, 101.0]),
+        (500.0, [(100.0, 1.0), (101.0, 2.0), (600.0, 3.0)], [500.0, 501.0, 502.0]),  # set back between starts
+        (0.0, [(100.0, 1.0), (50.0, 2.0), (51.0, 3.0)], [100.0, 101.0, 102.0]),
+    ],
+)  # and in service
 def test_store_time_never_goes_back(
     latest: float, looks: list[tuple[float, float]], times: list[float]
 ) -> None:
@@ -326,6 +384,7 @@
 
 # With threads, on this machine's disk.
 
+
 def run(folder: Path, scene: Callable[[Store], Any], **more: Any) -> None:
     async def within() -> None:
         async with asyncio.timeout(20.0):
@@ -334,6 +393,7 @@
                 await scene(store)
             finally:
                 await store.close()
+
     asyncio.run(within())
 
 
@@ -360,6 +420,7 @@
     async def second(store: Store) -> None:
         assert len(store.head) == 499 and store.get("s", b"0008") == b"new"
         assert store.get("s", b"0007") is None
+
     run(tmp_path, first)
     run(tmp_path, second)
 
@@ -380,14 +441,20 @@
         assert store.get("s", b"long") == b"x"
         await store.put("s", b"new", b"x", lasts=5.0)
         assert store.get("s", b"new") == b"x"
+
     run(tmp_path, first, wall=lambda: wall, steady=lambda: wall)
     wall = 500.0
     run(tmp_path, second, wall=lambda: wall, steady=lambda: wall)
 
 
-@pytest.mark.parametrize("call, code, state", [
-    ("append", errno.ENOSPC, State.FULL), ("append", errno.EIO, State.FAILED),
-    ("sync", errno.EIO, State.FAILED)])
+@pytest.mark.parametrize(
+    "call, code, state",
+    [
+        ("append", errno.ENOSPC, State.FULL),
+        ("append", errno.EIO, State.FAILED),
+        ("sync", errno.EIO, State.FAILED),
+    ],
+)
 def test_a_disk_that_fails_gives_up_what_is_not_on_it_and_goes_on_once_it_is_well(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, call: str, code: int, state: State
 ) -> None:
@@ -400,6 +467,7 @@
             if sick:
                 raise OSError(code, "sick")
             true(self, name, *data)
+
         monkeypatch.setattr(RealFiles, call, fails)
         futures = [store.put("s", b"%d" % n, b"x") for n in range(5)]
         for future in futures:
@@ -415,6 +483,7 @@
 
     async def after(store: Store) -> None:
         assert {k for _, k in content(store.head)} == {b"kept", b"well"}
+
     run(tmp_path, scene)
     run(tmp_path, after)
 
@@ -431,4 +500,5 @@
         assert store.get("s", b"kept") == b"x"
         steady += 2.0
         assert store.get("s", b"kept") is None
+
     run(tmp_path, scene, wall=lambda: wall, steady=lambda: steady)
--- a/tests/test_streams_prompt.py
+++ b/tests/test_streams_prompt.py
@@ -28,6 +28,7 @@
         received(self, data)
         if data.count(EVENT):
             passed.append(clients[0].look().count(EVENT) - sum(passed))
+
     monkeypatch.setattr(EngineConnection, "data_received", looked_at)
 
     async def day(play: Day) -> None:
@@ -39,6 +40,7 @@
             held.sock.sendall(chunk(lump * EVENT))
             await until(lambda count=count: len(passed) == count, "the lump")  # type: ignore[misc]
         assert passed == 5 * [lump]
+
     run_day(tmp_path, day)
 
 
@@ -51,6 +53,7 @@
         await until(lambda: client.look().count(EVENT) == 3, "three events")
         held.sock.sendall(chunk(EVENT[20:]))
         await until(lambda: client.look().count(EVENT) == 4, "the fourth")
+
     run_day(tmp_path, day)
 
 
@@ -71,12 +74,17 @@
             began = loop.time()
             for stream in streams:
                 stream.sock.sendall(chunk(EVENT))
-            await until(lambda turn=turn: all(  # type: ignore[misc]
-                client.look().count(EVENT) == turn for client in clients), "an event of each")
+            await until(
+                lambda turn=turn: all(  # type: ignore[misc]
+                    client.look().count(EVENT) == turn for client in clients
+                ),
+                "an event of each",
+            )
             slowest = max(slowest, loop.time() - began)
         assert slowest < LATE
 
     def long_hold(told: dict[str, Any]) -> None:
         """The engines here answer no release, and on a busy machine the 200 streams take a while to begin."""
         told["familyInfo"]["pinLimitNs"] = 60 * SECOND
+
     run_day(tmp_path, day, sockets=2_048, setting=long_hold)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -30,12 +30,14 @@
                 left -= 1
                 raise OSError(number, "for a moment")
             return accept(self)
+
         monkeypatch.setattr(socket.socket, "accept", failing)
         began = time.monotonic()
         client = play.client()
         client.say(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
         assert await client.until(1) == [200]
         assert time.monotonic() - began < 0.5
+
     run_day(tmp_path, day)
 
 
@@ -53,6 +55,7 @@
                 left -= 1
                 raise OSError(number, "for a moment")
             return await connect(made, host, port, **more)
+
         monkeypatch.setattr(play.node.loop, "create_connection", failing)
         client = play.client()
         client.say(request("c0"))
@@ -62,6 +65,7 @@
         assert all(not e.failures and not e.rests for e in play.node.core.router.engines.values())
         pools = play.node.link.pools
         assert not pools.open - sum(len(pool.idle) for pool in pools.pools.values())
+
     run_day(tmp_path, day)
 
 
@@ -85,6 +89,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against a request that waits for its last resort, as nothing could be learnt of its client."""
+
     async def day(play: Day) -> None:
         a, b = play.engines
         client = play.client()
@@ -100,6 +105,7 @@
             await asyncio.sleep(0.1)
         (await b.asked()).sock.sendall(GOOD)
         await until(lambda: client.whole == 1, "the stream's end")
+
     run_day(tmp_path, day)
 
 
@@ -107,6 +113,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against an end that is broken off: what was taken would be lost."""
+
     async def day(play: Day) -> None:
         client = play.client()
         await play.answer(client, "c0")
@@ -117,11 +124,13 @@
             await asyncio.sleep(1.0)
             assert not ending.done()  # nothing is known of what may lie unread: it goes on
         await asyncio.wait_for(ending, 2.0)
+
     run_day(tmp_path, day)
 
 
 def test_a_process_ends_in_order_where_a_client_resets_in_the_moment_of_a_shutdown(tmp_path: Path) -> None:
     """Guards against an end that one connection breaks off: ENOTCONN after a look that found it whole."""
+
     async def day(play: Day) -> None:
         client, other = play.client(), play.client()
         await play.answer(client, "c0")
@@ -130,8 +139,10 @@
 
         def refused() -> None:
             raise OSError(errno.ENOTCONN, "it was reset")
+
         transport.write_eof = refused
         play.node.terminate()
         await asyncio.wait_for(play.node.end(), 3.0)
         assert not play.node.clients.connections
+
     run_day(tmp_path, day)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -26,25 +26,30 @@
 GOOD, SECOND = CA.issue(), CA.issue()
 
 
-@pytest.mark.parametrize("pem, purpose, wrong", [
-    (Pem(*GOOD), Purpose.SERVER, ""), (Pem(*GOOD, CA.pem), Purpose.SERVER, ""),
-    (Pem(GOOD[0] + CA.pem, GOOD[1]), Purpose.SERVER, ""), (Pem(authority=CA.pem), Purpose.CLIENT, ""),
-    (Pem(GOOD[0], SECOND[1]), Purpose.SERVER, "key: not the key of the certificate"),
-    (Pem(b"x", GOOD[1]), Purpose.SERVER, "certificate: no certificate in PEM"),
-    (Pem(GOOD[0], b""), Purpose.SERVER, "key: no private key"),
-    (Pem(GOOD[0][:300], GOOD[1]), Purpose.SERVER, "certificate: no certificate"),
-    (Pem(*CA.issue(ends=NOW - timedelta(seconds=1))), Purpose.SERVER, "certificate 1 (CN=test) expired"),
-    (Pem(*CA.issue(begins=NOW + DAY)), Purpose.SERVER, "valid only from"),
-    (Pem(*CA.issue(begins=NOW + timedelta(minutes=4))), Purpose.SERVER, ""),
-    (Pem(*CA.issue(usage="client")), Purpose.SERVER, "not meant to serve with"),
-    (Pem(*GOOD), Purpose.CLIENT, "not meant to ask engines with"),
-    (Pem(*CA.issue(names=())), Purpose.SERVER, "names no host"),
-    (Pem(*CA.issue(bits=1024)), Purpose.SERVER, "RSA key of 1024 bits"),
-    (Pem(GOOD[0] + OTHER.pem, GOOD[1]), Purpose.SERVER, "not issued by the next"),
-    (Pem(GOOD[0] + OLD.pem, GOOD[1]), Purpose.SERVER, "certificate 2 (CN=test authority) expired"),
-    (Pem(authority=OLD.pem), Purpose.CLIENT, "authority: certificate 1"),
-    (Pem(authority=OLD.pem + CA.pem), Purpose.CLIENT, ""),
-])
+@pytest.mark.parametrize(
+    "pem, purpose, wrong",
+    [
+        (Pem(*GOOD), Purpose.SERVER, ""),
+        (Pem(*GOOD, CA.pem), Purpose.SERVER, ""),
+        (Pem(GOOD[0] + CA.pem, GOOD[1]), Purpose.SERVER, ""),
+        (Pem(authority=CA.pem), Purpose.CLIENT, ""),
+        (Pem(GOOD[0], SECOND[1]), Purpose.SERVER, "key: not the key of the certificate"),
+        (Pem(b"x", GOOD[1]), Purpose.SERVER, "certificate: no certificate in PEM"),
+        (Pem(GOOD[0], b""), Purpose.SERVER, "key: no private key"),
+        (Pem(GOOD[0][:300], GOOD[1]), Purpose.SERVER, "certificate: no certificate"),
+        (Pem(*CA.issue(ends=NOW - timedelta(seconds=1))), Purpose.SERVER, "certificate 1 (CN=test) expired"),
+        (Pem(*CA.issue(begins=NOW + DAY)), Purpose.SERVER, "valid only from"),
+        (Pem(*CA.issue(begins=NOW + timedelta(minutes=4))), Purpose.SERVER, ""),
+        (Pem(*CA.issue(usage="client")), Purpose.SERVER, "not meant to serve with"),
+        (Pem(*GOOD), Purpose.CLIENT, "not meant to ask engines with"),
+        (Pem(*CA.issue(names=())), Purpose.SERVER, "names no host"),
+        (Pem(*CA.issue(bits=1024)), Purpose.SERVER, "RSA key of 1024 bits"),
+        (Pem(GOOD[0] + OTHER.pem, GOOD[1]), Purpose.SERVER, "not issued by the next"),
+        (Pem(GOOD[0] + OLD.pem, GOOD[1]), Purpose.SERVER, "certificate 2 (CN=test authority) expired"),
+        (Pem(authority=OLD.pem), Purpose.CLIENT, "authority: certificate 1"),
+        (Pem(authority=OLD.pem + CA.pem), Purpose.CLIENT, ""),
+    ],
+)
 def test_what_is_wrong_with_keys(pem: Pem, purpose: Purpose, wrong: str) -> None:
     found = "; ".join(f"{name}: {what}" for name, what in faults(pem, purpose, NOW))
     assert (wrong in found) if wrong else not found
@@ -54,13 +59,20 @@
     turnover = Turnover(Purpose.SERVER)
     good, bad = Pem(*GOOD), Pem(GOOD[0], SECOND[1])
     steps: list[tuple[Pem | str, datetime, Step]] = [
-        (good, NOW, Step.TAKE), (good, NOW, Step.NOTHING), (bad, NOW, Step.REFUSE), (bad, NOW, Step.NOTHING),
-        (bad, NOW + REMIND, Step.REFUSE), ("gone", NOW + REMIND, Step.REFUSE),
-        (good, NOW + REMIND, Step.NOTHING), (bad, NOW + REMIND, Step.REFUSE),
-        (Pem(*SECOND), NOW + REMIND, Step.TAKE), (Pem(*SECOND), NOW + 90 * DAY - WARN, Step.AGEING),
+        (good, NOW, Step.TAKE),
+        (good, NOW, Step.NOTHING),
+        (bad, NOW, Step.REFUSE),
+        (bad, NOW, Step.NOTHING),
+        (bad, NOW + REMIND, Step.REFUSE),
+        ("gone", NOW + REMIND, Step.REFUSE),
+        (good, NOW + REMIND, Step.NOTHING),
+        (bad, NOW + REMIND, Step.REFUSE),
+        (Pem(*SECOND), NOW + REMIND, Step.TAKE),
+        (Pem(*SECOND), NOW + 90 * DAY - WARN, Step.AGEING),
         (Pem(*SECOND), NOW + 90 * DAY - WARN + REMIND / 2, Step.NOTHING),
-        (Pem(*SECOND), NOW + 90 * DAY, Step.EXPIRED), (Pem(*CA.issue(ends=NOW + 200 * DAY)), NOW + 90 * DAY,
-                                                       Step.TAKE)]
+        (Pem(*SECOND), NOW + 90 * DAY, Step.EXPIRED),
+        (Pem(*CA.issue(ends=NOW + 200 * DAY)), NOW + 90 * DAY, Step.TAKE),
+    ]
     for found, now, step in steps:
         assert turnover.look(found, now)[0] is step
         if step is Step.TAKE and isinstance(found, Pem):
@@ -69,14 +81,20 @@
     assert turnover.taken == 3
 
 
-@pytest.mark.parametrize("line, wrong", [
-    ('service_tls(certificate = "front.pem", key = "front.key")', ""),
-    ('service_tls(certificate = "front.pem", key = "other.key")', ":2: service_tls: key: not the key"),
-    ('service_tls(certificate = "none.pem", key = "front.key")', "none.pem can't be read"),
-    ('service_tls(certificate = "front.pem", key = "front.key", clients = "required")', "authority: is need"),
-    ('engine_tls(authority = "front.key")', "engine_tls: authority: no certificate in PEM"),
-    ('engine_tls(authority = "front.pem", certificate = "front.pem")', "go together"),
-])
+@pytest.mark.parametrize(
+    "line, wrong",
+    [
+        ('service_tls(certificate = "front.pem", key = "front.key")', ""),
+        ('service_tls(certificate = "front.pem", key = "other.key")', ":2: service_tls: key: not the key"),
+        ('service_tls(certificate = "none.pem", key = "front.key")', "none.pem can't be read"),
+        (
+            'service_tls(certificate = "front.pem", key = "front.key", clients = "required")',
+            "authority: is need",
+        ),
+        ('engine_tls(authority = "front.key")', "engine_tls: authority: no certificate in PEM"),
+        ('engine_tls(authority = "front.pem", certificate = "front.pem")', "go together"),
+    ],
+)
 def test_the_script_names_keys_that_can_be_used(tmp_path: Path, line: str, wrong: str) -> None:
     put(tmp_path, GOOD)
     put(tmp_path, SECOND, "other")
@@ -118,6 +136,7 @@
     async def within() -> None:
         async with asyncio.timeout(20.0):
             await scene()
+
     asyncio.run(within())
 
 
@@ -127,8 +146,14 @@
         front.served.desk.shares.window.size = 1000.0
         before, alpn = await front.serial()
         assert alpn == "http/1.1"
-        ask = json.dumps({"jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": {
-            "model": "w", "prompt": "x", "max_tokens": 40, "timeout": 10.0}})
+        ask = json.dumps(
+            {
+                "jsonrpc": "2.0",
+                "id": 1,
+                "method": "completions.create",
+                "params": {"model": "w", "prompt": "x", "max_tokens": 40, "timeout": 10.0},
+            }
+        )
         sessions = await asyncio.gather(*(connect(front.ws, ssl=trusting()) for _ in range(200)))
         for session in sessions:
             await session.send(ask)
@@ -147,18 +172,28 @@
                 count += 1
             assert said["result"]["final"] == "finished"
             return count
+
         assert await asyncio.gather(*map(rest, sessions)) == [40] * 200
         for session in sessions:
             await session.close()
         front.served.server.stop()
+
     run(scene)
 
 
 @pytest.mark.parametrize("kind", ["websocket", "http"])
-@pytest.mark.parametrize("clients, shown, ends", [
-    ("none", "", "finished"), ("optional", "", "finished"), ("optional", "good", "finished"),
-    ("required", "good", "finished"), ("required", "", "no front"), ("required", "other's", "no front"),
-    ("none", "untrusting", "no front")])
+@pytest.mark.parametrize(
+    "clients, shown, ends",
+    [
+        ("none", "", "finished"),
+        ("optional", "", "finished"),
+        ("optional", "good", "finished"),
+        ("required", "good", "finished"),
+        ("required", "", "no front"),
+        ("required", "other's", "no front"),
+        ("none", "untrusting", "no front"),
+    ],
+)
 def test_certificates_of_clients(tmp_path: Path, kind: str, clients: str, shown: str, ends: str) -> None:
     async def scene() -> None:
         (tmp_path / "ca.pem").write_bytes(CA.pem)
@@ -168,8 +203,9 @@
             issuer = CA if shown == "good" else OTHER
             certificate, key = put(tmp_path, issuer.issue(usage="client"), "client")
             tls.load_cert_chain(tmp_path / certificate, tmp_path / key)
-        client = (WebSocketClient([front.ws], tls=tls) if kind == "websocket"
-                  else HttpClient([front.http], tls=tls))
+        client = (
+            WebSocketClient([front.ws], tls=tls) if kind == "websocket" else HttpClient([front.http], tls=tls)
+        )
         async with client:
             try:
                 found = await client.complete("w", "x", max_tokens=3, timeout=1.0)
@@ -182,6 +218,7 @@
                 assert (kind, ends, clients) == ("http", "no front", "required")
         assert front.served.core.tally.taken == (ends == "finished")
         front.served.server.stop()
+
     run(scene)
 
 
@@ -202,19 +239,26 @@
         self.verdict.set_result(verdict)
 
 
-@pytest.mark.parametrize("name, trusted, verdict", [
-    ("engine-1", CA, Verdict.READ), ("engine-2", CA, Verdict.UNREACHABLE),
-    ("engine-1", OTHER, Verdict.UNREACHABLE)])
+@pytest.mark.parametrize(
+    "name, trusted, verdict",
+    [
+        ("engine-1", CA, Verdict.READ),
+        ("engine-2", CA, Verdict.UNREACHABLE),
+        ("engine-1", OTHER, Verdict.UNREACHABLE),
+    ],
+)
 def test_an_engine_is_known_by_its_name_in_the_list(
     tmp_path: Path, name: str, trusted: Authority, verdict: Verdict
 ) -> None:
     """One that can't show its name gets nothing: the dispatch is known not to have run."""
+
     async def scene() -> None:
         asked = []
 
         async def answer(exchange: Exchange) -> None:
             asked.append(exchange.path)
             exchange.whole(200, {"kv_transfer_params": {"x": 1}, "usage": {}})
+
         serving = Keys(tmp_path, Purpose.SERVER, *put(tmp_path, CA.issue(names=("engine-1",))))
         serving.look()
         server = Server(answer, serving.context)
@@ -228,4 +272,5 @@
         assert await heard.verdict is verdict and len(asked) == (verdict is Verdict.READ)
         link.stop()
         server.stop()
+
     run(scene)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -5,8 +5,17 @@
 
 from heathford.interface import PART_ARRIVED, GivenUp, Verdict
 from heathford.policy.transfer import (
-    KNOWN_FOR, LATE_BY, LONG, LOOK_EVERY, PRESUMED_RATE, STALLED_AFTER, TIDIED_AT, Send, SendState,
-    TransferRates)
+    KNOWN_FOR,
+    LATE_BY,
+    LONG,
+    LOOK_EVERY,
+    PRESUMED_RATE,
+    STALLED_AFTER,
+    TIDIED_AT,
+    Send,
+    SendState,
+    TransferRates,
+)
 
 SIZE = 250_000  # bytes
 READER, WRITER, COMBINED = (10, 0), (12, 1), (14, 2)
@@ -23,8 +32,10 @@
     return rates
 
 
-@pytest.mark.parametrize("rate, state", [
-    (0.0, SendState.STALLED), (PRESUMED_RATE / 4, SendState.BEHIND), (PRESUMED_RATE, SendState.MOVES)])
+@pytest.mark.parametrize(
+    "rate, state",
+    [(0.0, SendState.STALLED), (PRESUMED_RATE / 4, SendState.BEHIND), (PRESUMED_RATE, SendState.MOVES)],
+)
 def test_a_send_that_moves_is_given_up_only_where_its_deadline_would_be_wrong(
     rate: float, state: SendState
 ) -> None:
@@ -50,8 +61,9 @@
     assert expected == pytest.approx(3 * LOOK_EVERY)
 
 
-@pytest.mark.parametrize("size, left, promised", [
-    (20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / PRESUMED_RATE), (SIZE, 0.2, 0.1)])
+@pytest.mark.parametrize(
+    "size, left, promised", [(20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / PRESUMED_RATE), (SIZE, 0.2, 0.1)]
+)
 def test_a_deadline_leaves_out_what_a_long_send_is_expected_to_take(
     size: int, left: float, promised: float
 ) -> None:
--- a/tests/version_1.py
+++ b/tests/version_1.py
@@ -12,7 +12,14 @@
 
 def ask() -> None:
     from heathford.client import (
-        Aborted, BadRequest, Blocking, Finished, HttpClient, NoFront, RateLimited, WebSocketClient,
+        Aborted,
+        BadRequest,
+        Blocking,
+        Finished,
+        HttpClient,
+        NoFront,
+        RateLimited,
+        WebSocketClient,
     )
 
     def outcome(asked: dict[str, Any]) -> tuple[str, str, Any]:
@@ -25,6 +32,7 @@
             async with make() as client:
                 found: Finished = await client.complete(**asked["params"])
                 return found
+
         try:
             if asked["blocking"]:
                 with Blocking(make) as client:
@@ -43,6 +51,7 @@
 
 async def serve() -> None:
     from heathford.fuzz.sessions import Served
+
     served = Served()
     print(served.port, flush=True)
     await asyncio.get_running_loop().run_in_executor(None, sys.stdin.read)
@@ -51,6 +60,7 @@
 if __name__ == "__main__":
     sys.path.insert(0, sys.argv[1])
     import heathford
+
     assert str(heathford.__file__).startswith(sys.argv[1]), "the present version was loaded"
     if sys.argv[2] == "ask":
         ask()
