--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -22,7 +22,7 @@
 
 from heathford.core.doors import Endpoint
 from heathford.engines.link import EngineLink
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.local.deployment import Deployment
 from heathford.script.script import read_script
 
@@ -62,8 +62,8 @@
     def tokens(self, text: str) -> None:
         pass
 
-    def ended(self, verdict: Verdict, detail: int, load: Any, answer: Any) -> None:
-        self.over.set_result(verdict is Verdict.FINISHED)
+    def ended(self, verdict: Outcome, detail: int, load: Any, answer: Any) -> None:
+        self.over.set_result(verdict is Outcome.FINISHED)
 
 
 class Through:
@@ -119,7 +119,7 @@
         front = await deployment.start_front(0, program=program)
         link = EngineLink(1.0, 512, 15.0, 5.0, 65536, 0.3)
         mixed = [
-            Endpoint(n, name, Role.MIXED, "127.0.0.1", p.ready["port"])
+            Endpoint(n, name, Role.COMBINED, "127.0.0.1", p.ready["port"])
             for n, (name, p) in enumerate(deployment.engines.items())
             if name.startswith("mixed")
         ]
--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -28,8 +28,8 @@
 
 
 def never_gives_up() -> None:
-    router.LAST_CALL = -1e9
-    Router.has_taker = lambda self, completion, now, timely=True: True  # type: ignore[method-assign]
+    router.GIVE_UP_MARGIN = -1e9
+    Router.has_eligible_engine = lambda self, request, now, timely=True: True  # type: ignore[method-assign]
     taken.Taken.overdue = lambda self: None  # type: ignore[method-assign]
 
 
@@ -59,7 +59,7 @@
                 w.token_target,
                 Effect.IDEMPOTENT,
                 w.group,
-                w.memory_time,
+                w.key_ttl,
                 w.value,
             )
             for w in self.workloads
@@ -69,7 +69,7 @@
 
 
 def ignores_drains() -> None:
-    true = Router.list_row
+    true = Router.update_engine
 
     def row(
         self: Router,
@@ -83,21 +83,21 @@
     ) -> None:
         true(self, number, zone, kind, cell, Health.ON, size, started)
 
-    Router.list_row = row  # type: ignore[method-assign]
+    Router.update_engine = row  # type: ignore[method-assign]
 
 
 def crowds_cold_engines() -> None:
     """Each new process gets all that the front has, and so from each front."""
-    SlowStart.cold = lambda self, engine: False  # type: ignore[method-assign]
-    true = Router.hashed_pair
+    SlowStart.is_cold = lambda self, engine: False  # type: ignore[method-assign]
+    true = Router.pick_by_hash
 
-    def pair(self: Router, completion: Any, role: Any, is_open: Any) -> Any:
+    def pair(self: Router, request: Any, role: Any, is_open: Any) -> Any:
         newest = max(self.pools[role], key=lambda e: e.started, default=None)
         if newest and newest.started > 0 and self.clock.now - newest.started < self.slow_start.warm_after:
             return newest
-        return true(self, completion, role, is_open)
+        return true(self, request, role, is_open)
 
-    Router.hashed_pair = pair  # type: ignore[method-assign]
+    Router.pick_by_hash = pair  # type: ignore[method-assign]
 
 
 def pins_states() -> None:
@@ -167,11 +167,11 @@
     true = rpc.Rpc.chunk
     count = 0
 
-    def chunk(self: rpc.Rpc, key: Any, completion: str, text: str) -> None:
+    def chunk(self: rpc.Rpc, key: Any, request: str, text: str) -> None:
         nonlocal count
         count += 1
         if count % 10:
-            true(self, key, completion, text)
+            true(self, key, request, text)
 
     rpc.Rpc.chunk = chunk  # type: ignore[method-assign]
 
--- a/heathford/bootinfo.py
+++ b/heathford/bootinfo.py
@@ -9,13 +9,17 @@
 from math import isfinite
 from typing import Any, TypeVar
 
-from heathford.interface import Effect, Group, Kind, Role, Workload
+from heathford.interface import Effect, Group, EngineKind, Role, Workload
 
 NS = 1_000_000_000
 
-EFFECTS = {"free": Effect.IDEMPOTENT, "guarded": Effect.TOKENED, "single_shot": Effect.NON_IDEMPOTENT}
+EFFECTS = {
+    "free": Effect.IDEMPOTENT,
+    "guarded": Effect.IDEMPOTENCY_KEYED,
+    "single_shot": Effect.NON_IDEMPOTENT,
+}
 GROUPS = {"all": Group.ALL, "zone": Group.ZONE, "cell": Group.CELL}
-ROLES = {"read": Role.READER, "write": Role.WRITER, "both": Role.MIXED}
+ROLES = {"read": Role.PREFILL, "write": Role.DECODE, "both": Role.COMBINED}
 
 E = TypeVar("E", bound=Enum)
 
@@ -88,10 +92,10 @@
     return range(len(value))
 
 
-def kinds_of(info: Mapping[str, Any]) -> list[Kind]:
+def kinds_of(info: Mapping[str, Any]) -> list[EngineKind]:
     roles, memory = ("familyInfo", "roleByKind"), ("familyInfo", "memoryTokens")
     return [
-        Kind(word(ROLES, info, *roles, place), count(info, *memory, place))
+        EngineKind(word(ROLES, info, *roles, place), count(info, *memory, place))
         for place in places(info, *memory, like=roles)
     ]
 
@@ -106,7 +110,7 @@
     for place in places(info, "categories"):
         at = ("categories", place)
         effect = word(EFFECTS, info, *at, "idempotency")
-        tokened = effect is Effect.TOKENED  # these alone need a group and a time
+        tokened = effect is Effect.IDEMPOTENCY_KEYED  # these alone need a group and a time
         workloads.append(
             Workload(
                 latency_target=figure(info, *at, "objectiveNs", least=1.0) / NS,
@@ -114,7 +118,7 @@
                 token_target=figure(info, *token, place) / NS,
                 effect=effect,
                 group=word(GROUPS, info, *at, "group") if tokened else Group.ALL,
-                memory_time=figure(info, *at, "keyTtlNs") / NS if tokened else 0.0,
+                key_ttl=figure(info, *at, "keyTtlNs") / NS if tokened else 0.0,
                 value=figure({"worth": 1.0, **found(info, *at)}, "worth"),
             )
         )
--- a/heathford/core/core.py
+++ b/heathford/core/core.py
@@ -18,7 +18,7 @@
 from heathford.core.held_state import HeldStatistics
 from heathford.core.history import History
 from heathford.core.taken import Taken
-from heathford.interface import Handle, Health, Kind, Workload
+from heathford.interface import RoutedRequest, Health, EngineKind, Workload
 from heathford.policy import Router
 
 FAULTS = 64  # faults in one decision after which it is left to the next turn: more is a loop, not a fault
@@ -54,7 +54,7 @@
         link: Link,
         name: str,
         seed: int,
-        kinds: Sequence[Kind],
+        kinds: Sequence[EngineKind],
         workloads: Sequence[Workload],
         number: int,
         fronts: int,
@@ -113,9 +113,9 @@
             keyed_repeats=not link.late_reads,
             transfers=link.transfers,
         )
-        self.hold = self.router.hold  # s for which a state may wait for an attempt that arrives
+        self.hold = self.router.decode_wait_limit  # s for which a state may wait for an attempt that arrives
 
-    # What the Router asks for: heathford.interface.InstanceDoor.
+    # What the Router asks for: heathford.interface.RouterActions.
 
     def wake(self, after: float) -> None:
         self.loop.call_at(self.loop.time() + after, self.turn_soon)
@@ -185,7 +185,7 @@
             if taken.over:
                 taken.abandoned = True
                 return
-            taken.handle = self.router.take(
+            taken.handle = self.router.accept(
                 taken,
                 workload,
                 member,
@@ -208,17 +208,17 @@
         """Rows: endpoint, zone, kind, cell, health, size, started (s on the loop's clock, 0 if long ago)."""
 
         def play() -> None:
-            self.router.list_begins(complete)
+            self.router.begin_list_update(complete)
             for endpoint, zone, kind, cell, health, size, started in rows:
                 try:
                     self.endpoints[endpoint.number] = endpoint
-                    self.router.list_row(endpoint.number, zone, kind, cell, health, size, started)
+                    self.router.update_engine(endpoint.number, zone, kind, cell, health, size, started)
                 except Exception as problem:
                     # Guards against one entry that leaves all after it untold, drains among them. Could harm
                     # by a drain in that entry which is not acted on.
                     self.fault(problem, None)
             try:
-                self.router.list_ends()
+                self.router.end_list_update()
             except Exception as problem:
                 self.fault(problem, None)
                 self.list_not_taken()
@@ -234,7 +234,7 @@
         self.events.append((taken, play))
         self.turn_soon()
 
-    def tell(self, taken: Taken, say: Callable[[Handle], None]) -> None:
+    def tell(self, taken: Taken, say: Callable[[RoutedRequest], None]) -> None:
         def play() -> None:
             # Also for what was abandoned: else what ends for it now would count as out for good.
             if taken.handle:
@@ -299,7 +299,7 @@
         handles = {id(t.handle): t for t in self.live if t.handle and not t.abandoned}
         found = None
         for frame, _ in walk_tb(problem.__traceback__):
-            for name in ("completion", "self"):
+            for name in ("request", "self"):
                 found = handles.get(id(frame.f_locals.get(name)), found)
         return found
 
--- a/heathford/core/dispatch.py
+++ b/heathford/core/dispatch.py
@@ -7,9 +7,9 @@
 from heathford.core.doors import Call, Cancellable, Endpoint
 from heathford.core.gate import Attempt, Event, Reason, Stage
 from heathford.core.held_state import HeldStage, HeldState, ReleaseReason, SignOfLife
-from heathford.interface import ANSWERED, NEVER_RAN, Role, Verdict
-from heathford.policy.held_state import EARLY, SILENT_AFTER, release_due
-from heathford.policy.transfer import LOOK_EVERY
+from heathford.interface import ANSWERED_BY_ENGINE, NEVER_RAN, Role, Outcome
+from heathford.policy.held_state import TIMER_TOLERANCE, SILENT_AFTER, release_time
+from heathford.policy.transfer import PROGRESS_CHECK_INTERVAL
 
 if TYPE_CHECKING:
     from heathford.core.taken import Taken
@@ -21,7 +21,7 @@
     def __init__(self, taken: "Taken", seq: int, endpoint: Endpoint, now: float) -> None:
         self.taken, self.seq, self.endpoint, self.sent = taken, seq, endpoint, now
         self.name = taken.name if taken.one_name else f"{taken.name}.{seq}"
-        self.reading = endpoint.role is Role.READER
+        self.reading = endpoint.role is Role.PREFILL
         self.streaming = self.over = False
         self.arrival: Cancellable | None = None  # the look whether it has arrived
         self.call: Call | None = None
@@ -127,9 +127,9 @@
         if not self.call or self.over or self.streaming:
             return
         core = self.taken.core
-        now, due = core.loop.time(), release_due(self.taken.prefill.read_at, core.pin_limit)
-        if now < due - EARLY and self.call.moves():
-            self.arrival = core.loop.call_at(min(now + LOOK_EVERY, due), self.look_for_arrival)
+        now, due = core.loop.time(), release_time(self.taken.prefill.read_at, core.pin_limit)
+        if now < due - TIMER_TOLERANCE and self.call.moves():
+            self.arrival = core.loop.call_at(min(now + PROGRESS_CHECK_INTERVAL, due), self.look_for_arrival)
         else:
             self.record("look for arrival", self.call.give_up_unless_arrived().name)
 
@@ -138,7 +138,7 @@
             self.taken.sink.tokens(part)
 
     def ended(
-        self, verdict: Verdict, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
         if self.over:
             return
@@ -151,11 +151,11 @@
         self.record("ended", verdict.value)
         now = core.loop.time()
         latency = now - self.sent
-        if verdict in ANSWERED:
+        if verdict in ANSWERED_BY_ENGINE:
             taken.prefill.engine_answered(now)
         if taken.out is self:
             taken.out = None
-        if verdict is Verdict.READ:
+        if verdict is Outcome.PREFILLED:
             taken.prefill.was_left(self, answer["kv"], now)
             if taken.abandoned:
                 taken.release(ReleaseReason.REQUEST_OVER)
@@ -163,7 +163,7 @@
             taken.prefill_ended_unclear(self)
         elif self.held:
             self.held.end(HeldStage.NEVER_HELD)
-        if verdict is Verdict.FINISHED:
+        if verdict is Outcome.FINISHED:
             taken.finish(answer.get("reason") or "stop", answer.get("usage") or {})
         elif self.streaming:
             taken.abort(f"the stream ended early: {verdict.value}")
--- a/heathford/core/doors.py
+++ b/heathford/core/doors.py
@@ -7,7 +7,7 @@
 from math import inf
 from typing import Any, Protocol
 
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
 
@@ -99,7 +99,7 @@
     def tokens(self, part: Any) -> None: ...
 
     def ended(
-        self, verdict: Verdict, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
         """Detail as in the interface; answer: `reason` and `usage` of a finished one, `kv` of a read one."""
 
--- a/heathford/core/gate.py
+++ b/heathford/core/gate.py
@@ -11,7 +11,16 @@
 from enum import Enum
 from typing import Protocol
 
-from heathford.interface import HELD_ALLOWANCE, HELD_UP, NEVER_RAN, Effect, Group, Health, Verdict, Workload
+from heathford.interface import (
+    HELD_ALLOWANCE,
+    STALL_ALLOWANCE,
+    NEVER_RAN,
+    Effect,
+    Group,
+    Health,
+    Outcome,
+    Workload,
+)
 
 
 class Rule(Enum):
@@ -111,7 +120,7 @@
     cell: int
 
 
-NOT_LISTED = Place(Health.GONE, -1, -1)
+NOT_LISTED = Place(Health.REMOVED, -1, -1)
 
 
 @dataclass(slots=True)
@@ -121,7 +130,7 @@
     target: Target
     reading: bool
     sent_at: float
-    verdict: Verdict | None = None
+    verdict: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
@@ -200,7 +209,7 @@
         if workload.effect is Effect.NON_IDEMPOTENT or not self.keyed_repeats:
             self.violation(Rule.NO_EFFECT_TWICE, life.name, "a further attempt after one that may have run")
             return self.refuse(Reason.MAY_HAVE_RUN)
-        if now + HELD_UP - risks[0].sent_at >= workload.memory_time:
+        if now + STALL_ALLOWANCE - risks[0].sent_at >= workload.key_ttl:
             return self.refuse(Reason.WINDOW_OVER)
         for other in risks:
             # Cells lie in zones; where the list names no cells all engines look like one.
@@ -215,7 +224,7 @@
     def may_answer_refused(self, life: RequestLife) -> Reason:
         """Whether the client may be told that a new try does no harm."""
         workload = life.workload
-        known_everywhere = workload.effect is Effect.TOKENED and workload.group is Group.ALL
+        known_everywhere = workload.effect is Effect.IDEMPOTENCY_KEYED and workload.group is Group.ALL
         if workload.effect is Effect.IDEMPOTENT or known_everywhere or not life.earlier_risks():
             return Reason.ALLOWED
         self.violation(Rule.NO_EFFECT_TWICE, life.name, "refused although an attempt may have run")
--- a/heathford/core/taken.py
+++ b/heathford/core/taken.py
@@ -10,8 +10,8 @@
 from heathford.core.gate import Event, Reason, RequestLife
 from heathford.core.held_state import ReleaseReason
 from heathford.core.prefill_state import PrefillState
-from heathford.interface import Verdict, Workload
-from heathford.policy import Completion
+from heathford.interface import Outcome, Workload
+from heathford.policy import RequestState
 
 if TYPE_CHECKING:
     from heathford.core.core import Core
@@ -38,7 +38,7 @@
         core.history.add(name, "taken")
         self.due = due
         self.one_name: bool = one_name  # one_name: its dispatches are all called as itself
-        self.handle: Completion | None = None
+        self.handle: RequestState | None = None
         self.dispatches: list[Dispatch] = []
         self.out: Dispatch | None = None
         self.prefill: PrefillState = PrefillState()
@@ -46,7 +46,7 @@
         self.abandoned: bool = False  # its decision failed: nothing more is asked of its handle
         self.timer: Cancellable | None = core.loop.call_at(due + core.answer_margin / 2, self.overdue)
 
-    # What the Router asks for: heathford.interface.CompletionDoor.
+    # What the Router asks for: heathford.interface.RequestActions.
 
     def send(self, engine: int, timeout: float) -> None:
         core = self.core
@@ -64,7 +64,7 @@
             # Guards against an attempt that never began and counts as out for good. Harms nothing: the link
             # tells of nothing before it has returned.
             core.fault(problem, None)
-            dispatch.ended(Verdict.UNSENT, 0, {}, {})
+            dispatch.ended(Outcome.UNSENT, 0, {}, {})
             return
         if self.prefill.waits and not dispatch.reading:
             due = max(self.prefill.read_at + core.hold, dispatch.sent + (core.pin_limit - core.hold) / 2)
@@ -83,7 +83,7 @@
     @property
     def given_up(self) -> str:
         """Why the Router has given it up."""
-        why = self.handle.given_up if self.handle else None
+        why = self.handle.give_up_reason if self.handle else None
         return why.value if why else ""
 
     def abort(self, why: str = "given up") -> None:
@@ -110,7 +110,7 @@
             # Guards against a dispatch that begins once its client has gone: it may still wait for its
             # connection, or for a release. Also where running ones may not be cancelled. Harms nothing.
             self.out.call.withdraw()
-        self.core.tell(self, lambda handle: handle.left())
+        self.core.tell(self, lambda handle: handle.client_left())
 
     # What the core owns.
 
@@ -171,7 +171,7 @@
         if self.out:
             self.stop(self.out)  # and the Router hears how it ended: else it counts it as out for good
         else:
-            self.core.tell(self, lambda handle: handle.left())
+            self.core.tell(self, lambda handle: handle.client_left())
 
     def stream_too_long(self) -> None:
         self.abort("the stream ran past its limit")
@@ -189,5 +189,5 @@
     @property
     def gone(self) -> bool:
         return (
-            self.over and self.out is None and (self.abandoned or self.handle is None or self.handle.settled)
+            self.over and self.out is None and (self.abandoned or self.handle is None or self.handle.is_done)
         )
--- a/heathford/drill/wire.py
+++ b/heathford/drill/wire.py
@@ -6,20 +6,20 @@
 from typing import Any
 
 from heathford.bootinfo import NS, figures_of
-from heathford.interface import Handle, Health, Verdict
+from heathford.interface import RoutedRequest, Health, Outcome
 from heathford.policy import Router
 
-HEALTHS = {"on": Health.ON, "fading": Health.DRAINING, "off": Health.GONE}
+HEALTHS = {"on": Health.ON, "fading": Health.DRAINING, "off": Health.REMOVED}
 VERDICTS = {
-    "delivered": Verdict.FINISHED,
-    "app_error": Verdict.ERROR,
-    "shed": Verdict.FULL,
-    "expired": Verdict.TIMED_OUT,
-    "dial_failed": Verdict.UNREACHABLE,
-    "dropped": Verdict.BROKEN,
-    "revoked": Verdict.CANCELLED,
-    "unused": Verdict.UNSENT,
-    "READ": Verdict.READ,
+    "delivered": Outcome.FINISHED,
+    "app_error": Outcome.ERROR,
+    "shed": Outcome.FULL,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.UNREACHABLE,
+    "dropped": Outcome.BROKEN,
+    "revoked": Outcome.CANCELLED,
+    "unused": Outcome.UNSENT,
+    "READ": Outcome.PREFILLED,
 }
 LOADS = {"cpu": "slots", "waiting": "queue", "active": "held", "x0": "memory"}
 
@@ -61,7 +61,7 @@
         self, who: int, clock: BatchClock, output: list[dict[str, Any]], event: dict[str, Any]
     ) -> None:
         self.who, self.output = who, output
-        self.handles: dict[str, Handle] = {}
+        self.handles: dict[str, RoutedRequest] = {}
         info = event["bootInfo"]
         self.router = Router(
             clock,
@@ -85,12 +85,12 @@
 
     def fleet(self, event: dict[str, Any], rows: list[dict[str, Any]]) -> None:
         if event["scope"] == "unavailable":
-            self.router.list_failed()
+            self.router.list_request_failed()
             return
-        self.router.list_begins(complete=event["scope"] != "update")
+        self.router.begin_list_update(complete=event["scope"] != "update")
         for row in rows:
             try:
-                self.router.list_row(
+                self.router.update_engine(
                     row["engine"],
                     row.get("rackZone", 0),
                     row.get("model", 0),
@@ -103,11 +103,11 @@
                 # Guards against one entry that costs all others, whose drains are in the same list. Could
                 # harm where an engine is named by a kind that the settings don't have: it gets nothing.
                 self.trace(f"an entry that can't be read is passed over: {problem!r} in {str(row)[:80]}")
-        self.router.list_ends()
+        self.router.end_list_update()
 
     def job_in(self, event: dict[str, Any]) -> None:
         key = event["id"]
-        handle = self.router.take(
+        handle = self.router.accept(
             WireCompletion(self.act, key),
             event.get("type", 0),
             event.get("userGroup", 0),
@@ -138,11 +138,11 @@
                 load,
             )
         else:
-            handle.left()
+            handle.client_left()
 
     def decide(self) -> None:
         self.router.decide()
-        for key in [k for k, handle in self.handles.items() if handle.settled]:
+        for key in [k for k, handle in self.handles.items() if handle.is_done]:
             del self.handles[key]
 
 
--- a/heathford/engines/answers.py
+++ b/heathford/engines/answers.py
@@ -6,7 +6,7 @@
 import orjson
 
 from heathford.wire.http1 import NonsenseError, json_object
-from heathford.interface import Verdict
+from heathford.interface import Outcome
 
 # Names in a load report (endpoint-load-metrics, JSON form) and what the decisions call them.
 LOADS = {"application_utilization": "slots", "mem_utilization": "memory"}
@@ -32,13 +32,13 @@
     return {k: float(v) for k, v in pairs if k and isinstance(v, int | float) and v >= 0}
 
 
-def verdict_of(status: int, body: bytes) -> tuple[Verdict, int]:
+def verdict_of(status: int, body: bytes) -> tuple[Outcome, int]:
     """The verdict and detail of an answer that is no success."""
     if status in FULL:
-        return Verdict.FULL, 0
+        return Outcome.FULL, 0
     if status == 410 and error_code(body) == STATE_GONE:
-        return Verdict.FULL, 1
-    return Verdict.ERROR, 0
+        return Outcome.FULL, 1
+    return Outcome.ERROR, 0
 
 
 def error_code(body: bytes) -> str:
--- a/heathford/engines/link.py
+++ b/heathford/engines/link.py
@@ -17,7 +17,7 @@
 from heathford.engines.pools import Connections, Pools
 from heathford.engines.release_retries import NO_ANSWER, ReleaseRetries
 from heathford.wire.http1 import EventStream, NonsenseError, Response, request
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
 READ_BYTES = 65_536  # bytes read at once: a socket's buffer, so that one stream can't keep the others waiting
@@ -173,11 +173,11 @@
         self.load: dict[str, float] = {}
 
     def cancel(self) -> None:
-        self.end(Verdict.CANCELLED)
+        self.end(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
         if self.stream is None:
-            self.end(Verdict.UNSENT)
+            self.end(Outcome.UNSENT)
 
     def moves(self) -> bool:
         """Not followed here."""
@@ -186,12 +186,12 @@
     def give_up_unless_arrived(self) -> Arrival:
         """Only what has no connection yet is known not to have arrived here."""
         if self.stream is None:
-            self.end(Verdict.UNREACHABLE)
+            self.end(Outcome.UNREACHABLE)
             return Arrival.UNSENT
         return Arrival.ANSWERED if self.begun else Arrival.CONFIRMED
 
     def end(
-        self, verdict: Verdict, detail: int = 0, answer: Mapping[str, Any] | None = None, keep: bool = False
+        self, verdict: Outcome, detail: int = 0, answer: Mapping[str, Any] | None = None, keep: bool = False
     ) -> None:
         if self.over:
             return
@@ -205,7 +205,7 @@
                 self.link.drop(self.pool, self.stream)
         self.events.ended(verdict, detail, self.load, answer or {})
 
-    def expect(self, seconds: float, verdict: Verdict) -> None:
+    def expect(self, seconds: float, verdict: Outcome) -> None:
         if self.timer:
             self.timer.cancel()
         self.timer = asyncio.get_running_loop().call_later(seconds, self.end, verdict)
@@ -217,29 +217,29 @@
         self.pool = self.link.pool(self.endpoint)
         if self.pool.open - len(self.pool.idle) >= self.link.most:
             # All our connections there are in use: nothing was sent, and for us this engine is full.
-            self.end(Verdict.CROWDED)
+            self.end(Outcome.NO_FREE_CONNECTION)
             return
         until = loop.time() + timeout
-        self.expect(min(timeout, self.link.connect_timeout), Verdict.UNREACHABLE)
+        self.expect(min(timeout, self.link.connect_timeout), Outcome.UNREACHABLE)
         try:
             stream = await self.link.connection(self.endpoint, self.pool)
         except (StreamClosedError, OSError):
-            self.end(Verdict.UNREACHABLE)
+            self.end(Outcome.UNREACHABLE)
             return
         if self.over or not self.events.wanted():
             self.link.give_back(self.pool, stream, True)
-            self.end(Verdict.UNSENT)
+            self.end(Outcome.UNSENT)
             return
         self.stream = stream
-        self.expect(until - loop.time(), Verdict.TIMED_OUT)
+        self.expect(until - loop.time(), Outcome.TIMED_OUT)
         try:
             await stream.write(data)
             await self.answer(stream)
         except StreamClosedError:
-            self.end(Verdict.BROKEN)
+            self.end(Outcome.BROKEN)
         except NonsenseError as problem:
             log.warning("nonsense from an engine", engine=self.endpoint.name, what=str(problem))
-            self.end(Verdict.ERROR)
+            self.end(Outcome.ERROR)
 
     async def answer(self, stream: IOStream) -> None:
         response = Response(self.link.longest_line)
@@ -271,15 +271,15 @@
             self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
             verdict, detail = verdict_of(response.status, bytes(body))
             self.end(verdict, detail, keep=response.keep)
-        elif self.endpoint.role is Role.READER:
+        elif self.endpoint.role is Role.PREFILL:
             self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
             found, kv = read_answer(bytes(body))
-            self.end(Verdict.READ, found, {"kv": kv}, keep=response.keep)
+            self.end(Outcome.PREFILLED, found, {"kv": kv}, keep=response.keep)
         elif not finished or not self.begun:
             raise NonsenseError("a stream that ends without saying so" if self.begun else "no stream")
         else:
             self.load = load_of(response.trailers.get("endpoint-load-metrics", ""))
-            self.end(Verdict.FINISHED, cached(usage), {"reason": reason, "usage": usage}, keep=response.keep)
+            self.end(Outcome.FINISHED, cached(usage), {"reason": reason, "usage": usage}, keep=response.keep)
 
     def token(self, text: str) -> None:
         self.heard = asyncio.get_running_loop().time()
@@ -299,7 +299,7 @@
     def look_for_silence(self) -> None:
         left = self.heard + self.link.stream_silence - asyncio.get_running_loop().time()
         if left <= 0.0:
-            self.end(Verdict.TIMED_OUT)
+            self.end(Outcome.TIMED_OUT)
         elif not self.over:
             self.watch_silence(left)
 
@@ -310,7 +310,7 @@
     headers = {"X-Request-Id": name}
     if mark:
         headers["Idempotency-Key"] = mark
-    if endpoint.role is Role.READER:
+    if endpoint.role is Role.PREFILL:
         more: dict[str, Any] = {
             "max_tokens": 1,
             "stream": False,
--- a/heathford/fleet/follow.py
+++ b/heathford/fleet/follow.py
@@ -19,7 +19,7 @@
 AGAIN = 0.1  # s before a failed call is made again: a registry that restarts is back in about that
 AGAIN_MOST = 5.0  # s: doubled up to here, so that a registry that is down isn't pressed by every front
 SILENCE = 10.0  # s without a line after which a watch is held for dead: bookmarks come each second or so
-PHASES = {"Running": Health.ON, "Draining": Health.DRAINING, "Gone": Health.GONE}
+PHASES = {"Running": Health.ON, "Draining": Health.DRAINING, "Gone": Health.REMOVED}
 
 Row = tuple[Endpoint, int, int, int, Health, float, float]
 
@@ -106,7 +106,7 @@
         self.versions[name] = version
         self.version = max(self.version, version)
         if kind == "DELETED":
-            row = (*row[:4], Health.GONE, *row[5:])
+            row = (*row[:4], Health.REMOVED, *row[5:])
         return [row]
 
     def told_start(self, item: Any) -> ToldStart | None:
--- a/heathford/fleet/instances.py
+++ b/heathford/fleet/instances.py
@@ -11,10 +11,10 @@
 from heathford.interface import Health, Role
 from heathford.wire.http1 import json_object
 
-STATES = {"SERVING": Health.ON, "DRAINING": Health.DRAINING, "DELETED": Health.GONE}
+STATES = {"SERVING": Health.ON, "DRAINING": Health.DRAINING, "DELETED": Health.REMOVED}
 LONGEST = 4_194_304  # bytes of a list: thousands of engines
 MOST_GONE = 4_096  # instances remembered as gone in case discovery goes back: more than lists have
-HEALTH_ORDER = (Health.ON, Health.DRAINING, Health.GONE)  # the later, the less may be sent there
+HEALTH_ORDER = (Health.ON, Health.DRAINING, Health.REMOVED)  # the later, the less may be sent there
 
 
 @dataclass(frozen=True)
@@ -88,7 +88,7 @@
             present[uid] = None
             rows.append(row)
             self.rows[uid] = row
-            if row[4] is Health.GONE:
+            if row[4] is Health.REMOVED:
                 self.forget(uid)
         # Of a list with an entry that does not say whose it is, nobody can say who is missing.
         complete = complete and not nameless
@@ -116,7 +116,7 @@
         if held and boot == held[1]:
             health = max(health, held[0][4], key=HEALTH_ORDER.index)
         elif not held and uid in self.gone and boot <= self.gone[uid].boot:
-            health = Health.GONE
+            health = Health.REMOVED
         return (*row[:4], health, *row[5:])
 
     def kept(self, entry: Any) -> tuple[str, Row] | None:
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -20,7 +20,7 @@
 from heathford.front.memory import Memory
 from heathford.fleet.follow import Follower
 from heathford.fleet.registry import Registry
-from heathford.interface import Effect, Group, Kind, Role, Workload
+from heathford.interface import Effect, Group, EngineKind, Role, Workload
 from heathford.script.script import Script
 from heathford.identity.identities import Identities
 from heathford.sessions.life import Patience
@@ -67,7 +67,7 @@
             self.link,
             instance_name(self.declared.name),
             seed,
-            [Kind(Role(k.role), k.memory) for k in kinds],
+            [EngineKind(Role(k.role), k.memory) for k in kinds],
             [
                 Workload(
                     w.latency_target,
--- a/heathford/fuzz/sessions.py
+++ b/heathford/fuzz/sessions.py
@@ -17,7 +17,7 @@
 from heathford.core.doors import Endpoint
 from heathford.fuzz.frames import VIOLATIONS, Case, frame, handshake, message, random_case, violation
 from heathford.identity.identities import Identities
-from heathford.interface import Effect, Group, Health, Kind, Role, Workload
+from heathford.interface import Effect, Group, Health, EngineKind, Role, Workload
 from heathford.sessions.life import Patience
 from heathford.sessions.limits import Room
 from heathford.sessions.offers import Offer, Offers
@@ -36,7 +36,7 @@
     def __init__(self, effect: Effect = Effect.IDEMPOTENT, **figures: Any) -> None:
         loop = asyncio.get_running_loop()
         self.link = AnsweringLink()
-        kinds = [Kind(Role.READER, 10**6), Kind(Role.WRITER, 10**6)]
+        kinds = [EngineKind(Role.PREFILL, 10**6), EngineKind(Role.DECODE, 10**6)]
         self.core = Core(
             loop,
             self.link,
--- a/heathford/identity/identities.py
+++ b/heathford/identity/identities.py
@@ -11,7 +11,7 @@
 from heathford.interface import Effect
 
 # In which order ended completions are forgotten: the later, the more a forgotten one could harm.
-FORGOTTEN = (Effect.IDEMPOTENT, Effect.TOKENED, Effect.NON_IDEMPOTENT)
+FORGOTTEN = (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEYED, Effect.NON_IDEMPOTENT)
 
 
 class Found(Enum):
--- a/heathford/interface.py
+++ b/heathford/interface.py
@@ -12,21 +12,21 @@
 
 
 # Terms that the users state.
-HELD_UP = 0.15  # s that may pass between reading the clock and writing
+STALL_ALLOWANCE = 0.15  # s that may pass between reading the clock and writing
 HELD_ALLOWANCE = 0.3  # s beyond the pin limit for which a state may be held
 
 
 class Role(Enum):
-    READER = "read"
-    WRITER = "write"
-    MIXED = "both"
+    PREFILL = "read"
+    DECODE = "write"
+    COMBINED = "both"
 
 
 class Effect(Enum):
     """What running a completion twice does: nothing, nothing inside a group, or harm."""
 
     IDEMPOTENT = "idempotent"
-    TOKENED = "tokened"
+    IDEMPOTENCY_KEYED = "tokened"
     NON_IDEMPOTENT = "non-idempotent"
 
 
@@ -41,10 +41,10 @@
 class Health(Enum):
     ON = "on"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "gone"
 
 
-class Verdict(Enum):
+class Outcome(Enum):
     """How a dispatch ended."""
 
     FINISHED = "finished"
@@ -55,22 +55,24 @@
     BROKEN = "broken"
     CANCELLED = "cancelled"
     UNSENT = "unsent"
-    READ = "read"
-    CROWDED = "crowded"  # all our own connections are in use: nothing was sent
+    PREFILLED = "read"
+    NO_FREE_CONNECTION = "crowded"  # all our own connections are in use: nothing was sent
     UNARRIVED = "unarrived"  # sent, but its last byte is not known to have reached the engine; it still may
 
 
-class GivenUp(Enum):
+class GiveUpReason(Enum):
     """Why the Router gives a completion up."""
 
-    TIME_OVER = "its time is nearly over"
+    DEADLINE_NEAR = "its time is nearly over"
     NO_ENGINE = "no listed engine may take it"
-    TURNED_AWAY = "it can hardly be in time"
-    TOO_LONG_TO_SEND = "its prompt can't reach an engine in its time"
+    SHED = "it can hardly be in time"
+    TRANSFER_TOO_SLOW = "its prompt can't reach an engine in its time"
 
 
 # Outcomes which prove that the dispatch had no effect.
-NEVER_RAN = frozenset({Verdict.FULL, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.READ, Verdict.CROWDED})
+NEVER_RAN = frozenset(
+    {Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.PREFILLED, Outcome.NO_FREE_CONNECTION}
+)
 
 # The detail of an outcome among these: part of the dispatch had arrived, and the rest did not in its time.
 PART_ARRIVED = 1
@@ -78,7 +80,7 @@
 # Outcomes that an engine has told itself: the dispatch has reached it. After any other nothing is known: what
 # the far machine's kernel has confirmed may never come to the engine, and a connection that breaks or falls
 # silent tells neither that it came nor that it did not.
-ANSWERED = frozenset({Verdict.FULL, Verdict.READ, Verdict.ERROR, Verdict.FINISHED})
+ANSWERED_BY_ENGINE = frozenset({Outcome.FULL, Outcome.PREFILLED, Outcome.ERROR, Outcome.FINISHED})
 
 
 @dataclass(frozen=True)
@@ -88,12 +90,12 @@
     token_target: float  # s from one token to the next
     effect: Effect
     group: Group
-    memory_time: float  # s for which a tokened repeat is known, from the send
+    key_ttl: float  # s for which a tokened repeat is known, from the send
     value: float
 
 
 @dataclass(frozen=True)
-class Kind:
+class EngineKind:
     role: Role
     memory: int  # tokens
 
@@ -103,7 +105,7 @@
     def now(self) -> float: ...
 
 
-class CompletionDoor(Protocol):
+class RequestActions(Protocol):
     """What can be done for one completion."""
 
     def send(self, engine: int, timeout: float) -> None: ...
@@ -117,7 +119,7 @@
     def release(self) -> None: ...
 
 
-class InstanceDoor(Protocol):
+class RouterActions(Protocol):
     """What can be done by the instance itself."""
 
     def wake(self, after: float) -> None: ...
@@ -127,25 +129,25 @@
     def trace(self, text: str) -> None: ...
 
 
-class Handle(Protocol):
+class RoutedRequest(Protocol):
     """A completion that was taken; all that happens to it is a call on this."""
 
     @property
-    def settled(self) -> bool:
+    def is_done(self) -> bool:
         """Nothing more can happen to it."""
 
     @property
-    def given_up(self) -> GivenUp | None:
+    def give_up_reason(self) -> GiveUpReason | None:
         """Why the Router has given it up, if it has."""
 
     def first_token(self, seq: int, latency: float) -> None: ...
 
     def ended(
-        self, seq: int, verdict: Verdict, latency: float, closed: bool, detail: int, load: Mapping[str, float]
+        self, seq: int, verdict: Outcome, latency: float, closed: bool, detail: int, load: Mapping[str, float]
     ) -> None:
         """A dispatch ended. Load: slots, queue, held, memory, as far as the engine reports them."""
 
     def engine_silent(self, seq: int) -> None:
         """The engine of a dispatch that is out has said nothing since, nor to a release after that."""
 
-    def left(self) -> None: ...
+    def client_left(self) -> None: ...
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from heathford.engines.answers import cached
-from heathford.interface import Verdict
+from heathford.interface import Outcome
 from heathford.wire.http1 import NonsenseError, Response, json_object
 
 LONGEST_LINE = 16_384  # bytes of a head, a size line or one event: engines send a few hundred
@@ -88,18 +88,18 @@
     def keep(self) -> bool:
         return self.response.keep
 
-    def verdict(self) -> tuple[Verdict, int]:
+    def verdict(self) -> tuple[Outcome, int]:
         """Once it is whole: the verdict and its detail. Raises NonsenseError."""
         status = self.response.status
         if status == 200 and not self.reading:
             if not self.events.finished or self.events.rest.strip():
                 raise NonsenseError("a stream that ends without saying so")
-            return Verdict.FINISHED, self.events.found
+            return Outcome.FINISHED, self.events.found
         if status == 202 and self.reading:
-            return Verdict.READ, tokens_found(json_object(bytes(self.body)).get("cached_tokens"))
+            return Outcome.PREFILLED, tokens_found(json_object(bytes(self.body)).get("cached_tokens"))
         if status in TURNED_AWAY and self.response.headers.get(REJECTED) == "1":
-            return Verdict.FULL, TURNED_AWAY[status]
-        return Verdict.ERROR, 0
+            return Outcome.FULL, TURNED_AWAY[status]
+        return Outcome.ERROR, 0
 
 
 def tokens_found(count: Any) -> int:
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -4,11 +4,11 @@
 from typing import TYPE_CHECKING
 
 from heathford.core.doors import Arrival, CallEvents, Endpoint
-from heathford.interface import PART_ARRIVED, Role, Verdict
+from heathford.interface import PART_ARRIVED, Role, Outcome
 from heathford.platform.answers import Answer
 from heathford.platform.exchange import EngineConnection, Exchange
 from heathford.platform.unclear_prefill import UnclearPrefill
-from heathford.policy.transfer import LOOK_EVERY, Send, SendState
+from heathford.policy.transfer import PROGRESS_CHECK_INTERVAL, Send, SendState
 from heathford.wire.http1 import NonsenseError, request
 from heathford.wire.socket_state import unconfirmed
 
@@ -17,7 +17,7 @@
 
 SILENCE = 4.0  # s without an event after which a stream is held for dead: clients may be kept waiting for 5
 PREFILL_ANSWER = 0.1  # s in which a prefill engine's answer comes whole once it has begun: some 100 bytes
-UNCLEAR = frozenset({Verdict.CANCELLED, Verdict.TIMED_OUT, Verdict.BROKEN})  # ends of a read that may go on
+UNCLEAR = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.BROKEN})  # ends of a read that may go on
 
 
 class EngineCall(Exchange):
@@ -37,7 +37,7 @@
     ) -> None:
         super().__init__(link, endpoint, timeout)
         self.name, self.body, self.mark, self.events = name, body, mark, events
-        self.answer = Answer(endpoint.role is Role.READER)
+        self.answer = Answer(endpoint.role is Role.PREFILL)
         self.heard_at = 0.0  # when the last event came
         self.begun = False  # events of a stream have come
         self.answer_begun = False  # of a prefill engine
@@ -48,7 +48,7 @@
             return
         left = self.until - self.loop.time()
         if left <= 0.0:
-            self.end(Verdict.UNSENT)
+            self.end(Outcome.UNSENT)
             return
         self.connect(self.encoded, min(left, self.link.connect_timeout))
 
@@ -59,10 +59,10 @@
     def begin(self, connection: EngineConnection, data: Callable[[], bytes]) -> None:
         if not self.events.wanted():
             self.link.give_back(connection)
-            self.end(Verdict.UNSENT)
+            self.end(Outcome.UNSENT)
         else:
             super().begin(connection, data)
-            self.loop.call_later(LOOK_EVERY, self.look_at_send)
+            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.look_at_send)
 
     def look_at_send(self) -> None:
         """Guards against a deadline, told by the head of a long request, that is out of date when the rest
@@ -71,39 +71,39 @@
         if self.over or not connection or not sending:
             return
         now, left = self.loop.time(), connection.not_confirmed()
-        state = sending.look(now, sending.size - left)
+        state = sending.check_progress(now, sending.size - left)
         if not left:
             self.sending = None
             self.link.transfers.observe(sending, now)
         elif state is SendState.BEHIND and connection.unwritten:
             self.give_up_slow_send(sending)
         elif state is not SendState.STALLED:
-            self.loop.call_later(LOOK_EVERY, self.look_at_send)
+            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.look_at_send)
         elif connection.unwritten:
-            self.end(Verdict.UNREACHABLE, PART_ARRIVED if sending.moved > 0 else 0)
+            self.end(Outcome.UNREACHABLE, PART_ARRIVED if sending.moved > 0 else 0)
 
     def give_up_slow_send(self, sending: Send) -> None:
         """Its engine may be asked again, with a deadline that leaves out the time which it takes."""
         self.link.transfers.observe(sending, self.loop.time())
-        self.end(Verdict.UNSENT, PART_ARRIVED)
+        self.end(Outcome.UNSENT, PART_ARRIVED)
 
     def encoded(self) -> bytes:
         (target, body), self.body = self.body, ("", b"")  # written once: not kept while the answer streams
         now = self.loop.time()
-        self.sending = self.link.transfers.begin(self.endpoint.number, len(body), self.until - now, now)
-        told = max(1, int(1000 * (self.until - now - self.sending.promised)))
+        self.sending = self.link.transfers.start(self.endpoint.number, len(body), self.until - now, now)
+        told = max(1, int(1000 * (self.until - now - self.sending.reserved_time)))
         headers = {"X-Call-Id": self.name, "X-Budget-Ms": str(told)}
         if self.mark:
             headers["Idempotency-Key"] = self.mark
         return request("POST", target, self.endpoint.address, headers, body)
 
     def cancel(self) -> None:
-        self.end(Verdict.CANCELLED)
+        self.end(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
         """Also where part of a long request has left: an engine starts on what is whole."""
         if self.connection is None or self.connection.unwritten:
-            self.end(Verdict.UNSENT)
+            self.end(Outcome.UNSENT)
 
     def moves(self) -> bool:
         """A slow send is no cut: its attempt may yet arrive within the limit of what is held."""
@@ -119,37 +119,37 @@
             self.give_up_slow_send(self.sending)
             return Arrival.UNSENT
         if self.connection is None or self.connection.unwritten:
-            self.end(Verdict.UNREACHABLE)
+            self.end(Outcome.UNREACHABLE)
             return Arrival.UNSENT
         if unconfirmed(self.connection.transport):
-            self.end(Verdict.UNARRIVED)
+            self.end(Outcome.UNARRIVED)
             return Arrival.UNCONFIRMED
         return Arrival.CONFIRMED
 
-    def end(self, verdict: Verdict, detail: int = 0, keep: bool = False) -> None:
+    def end(self, verdict: Outcome, detail: int = 0, keep: bool = False) -> None:
         if self.over:
             return
         sent = self.connection is not None
         self.stop(keep)
         self.link.ends[verdict] += 1
-        if (sent or verdict is Verdict.BROKEN) and verdict in UNCLEAR and self.endpoint.role is Role.READER:
+        if (sent or verdict is Outcome.BROKEN) and verdict in UNCLEAR and self.endpoint.role is Role.PREFILL:
             self.link.unclear[self.name] = UnclearPrefill(self.loop.time())
         self.events.ended(verdict, detail, {}, {"kv": {}})
 
     def timed_out(self) -> None:
-        self.end(Verdict.TIMED_OUT)
+        self.end(Outcome.TIMED_OUT)
 
     def unreached(self) -> None:
         """Nothing of it was sent."""
-        self.end(Verdict.UNREACHABLE)
+        self.end(Outcome.UNREACHABLE)
 
     def crowded(self) -> None:
         """All our connections are in use: nothing was sent, and for us this engine is full."""
-        self.end(Verdict.CROWDED)
+        self.end(Outcome.NO_FREE_CONNECTION)
 
     def lost(self, unwritten: bool) -> None:
         self.connection = None
-        self.end(Verdict.UNREACHABLE if unwritten else Verdict.BROKEN)
+        self.end(Outcome.UNREACHABLE if unwritten else Outcome.BROKEN)
 
     def closed_by_engine(self) -> None:
         self.answer.response.closed()
@@ -160,10 +160,10 @@
         try:
             events = self.answer.feed(data)
             done = self.answer.response.done
-            verdict, detail = self.answer.verdict() if done else (Verdict.ERROR, 0)
+            verdict, detail = self.answer.verdict() if done else (Outcome.ERROR, 0)
         except NonsenseError as problem:
             self.link.nonsense(self.endpoint, problem)
-            self.end(Verdict.ERROR)
+            self.end(Outcome.ERROR)
             return
         if events:
             self.heard_at = self.loop.time()
@@ -174,7 +174,7 @@
             self.events.tokens(events)
         if done:
             self.end(verdict, detail, keep=self.answer.keep)
-        elif self.endpoint.role is Role.READER and not self.answer_begun:
+        elif self.endpoint.role is Role.PREFILL and not self.answer_begun:
             self.begin_prefill_answer()
 
     def begin_prefill_answer(self) -> None:
@@ -189,6 +189,6 @@
         """One timer that looks again, not one an event."""
         left = self.heard_at + SILENCE - self.loop.time()
         if left <= 0.0:
-            self.end(Verdict.TIMED_OUT)
+            self.end(Outcome.TIMED_OUT)
         else:
             self.expect(left, self.look_for_silence)
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -11,7 +11,7 @@
 from heathford.core.tasks import Tasks
 from heathford.engines.pools import Pools
 from heathford.engines.release_retries import NO_ANSWER
-from heathford.interface import Verdict
+from heathford.interface import Outcome
 from heathford.platform.engine_call import EngineCall
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.silent_engines import SilentEngines
@@ -64,7 +64,7 @@
         self.unclear: dict[str, UnclearPrefill] = {}  # by request
         self.transfers = TransferRates()
         self.again: dict[str, asyncio.TimerHandle] = {}  # requests whose release is to be said once more
-        self.ends: Counter[Verdict] = Counter()
+        self.ends: Counter[Outcome] = Counter()
         self.spoilt = self.unreleased = 0
         self.stopped = False
 
--- a/heathford/platform/release_schedule.py
+++ b/heathford/platform/release_schedule.py
@@ -84,7 +84,7 @@
 
     for address, port in kept:
         if may_be_asked((address, port)):
-            return Endpoint(0, "", Role.MIXED, address, port)
+            return Endpoint(0, "", Role.COMBINED, address, port)
     start = int.from_bytes(blake2b(name.encode(), digest_size=4).digest())
     for zone in (near, far) if len(asked) % 2 else (far, near):
         rest = [e for e in zone if may_be_asked((e.address, e.port))]
--- a/heathford/platform/unclear_prefill.py
+++ b/heathford/platform/unclear_prefill.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from heathford.policy.held_state import release_due
+from heathford.policy.held_state import release_time
 
 LATE_READ = (0.1, 0.5, 1.0)  # s after each release: its engine may end it well after one that it has answered
 FOLLOWED_FOR = 10.0  # s for which its engine may be cut off: twice the silences that deployments have met
@@ -33,4 +33,4 @@
             return LATE_READ[self.said - 1] if self.said <= len(LATE_READ) else None
         if now - self.since >= FOLLOWED_FOR:
             return None
-        return min(LATE_READ[min(self.said, len(LATE_READ)) - 1], release_due(0.0, pin_limit))
+        return min(LATE_READ[min(self.said, len(LATE_READ)) - 1], release_time(0.0, pin_limit))
--- a/heathford/policy/__init__.py
+++ b/heathford/policy/__init__.py
@@ -14,5 +14,5 @@
 6. admission: little more is let in than is answered in time; what can hardly be any more makes way
 """
 
-from heathford.policy.request_state import Completion as Completion
+from heathford.policy.request_state import RequestState as RequestState
 from heathford.policy.router import Router as Router
--- a/heathford/policy/held_state.py
+++ b/heathford/policy/held_state.py
@@ -9,17 +9,19 @@
 from math import inf
 from typing import Protocol
 
-from heathford.interface import HELD_ALLOWANCE, HELD_UP
+from heathford.interface import HELD_ALLOWANCE, STALL_ALLOWANCE
 
-RELEASE_TAKES = 0.1  # s: a release that two silent engines do not answer is confirmed by a third in that time
+RELEASE_DURATION = (
+    0.1  # s: a release that two silent engines do not answer is confirmed by a third in that time
+)
 SILENT_AFTER = 0.1  # s without any answer after which an engine counts as silent: many round trips
-EARLY = 0.001  # s by which a timer may be early
+TIMER_TOLERANCE = 0.001  # s by which a timer may be early
 
 
-def release_due(since: float, pin_limit: float) -> float:
+def release_time(since: float, pin_limit: float) -> float:
     """When to release a state whose limit counts from `since`: as late as is safe, as until then the attempt
     may still take it. Leaves room for a hold-up and for engines that do not answer the release."""
-    return since + max(0.0, pin_limit + HELD_ALLOWANCE - HELD_UP - RELEASE_TAKES)
+    return since + max(0.0, pin_limit + HELD_ALLOWANCE - STALL_ALLOWANCE - RELEASE_DURATION)
 
 
 class Holder(Protocol):
@@ -30,7 +32,7 @@
     def release_state(self) -> None: ...
 
 
-class HandedOver:
+class PendingReleases:
     """All completions of an instance whose state waits behind an attempt that is out.
 
     wake: asks for a decision after so many s. One timer is out at a time, for the one that is due first.
@@ -55,13 +57,13 @@
             self.next_due = due
             self.wake(max(0.0, due - now))
 
-    def release_due_ones(self, now: float) -> None:
+    def release_expired(self, now: float) -> None:
         """Release what is due; the attempts stay out."""
-        if now < self.next_due - EARLY:
+        if now < self.next_due - TIMER_TOLERANCE:
             return
         self.next_due = inf
         for holder in list(self.holders):
-            if now >= holder.release_at - EARLY:
+            if now >= holder.release_at - TIMER_TOLERANCE:
                 self.remove(holder)
                 holder.release_state()
         if self.holders:
--- a/heathford/policy/slow_start.py
+++ b/heathford/policy/slow_start.py
@@ -32,7 +32,7 @@
         self.parts: dict[Role, tuple[float, float, float]] = {}  # when worked out, and sends
         self.drawn_at, self.drawn = -inf, dict[Engine, float]()  # our recent texts, by where they lead
 
-    def cold(self, engine: Engine) -> bool:
+    def is_cold(self, engine: Engine) -> bool:
         """It has started so lately that it may not be warm."""
         return engine.started != 0.0 and self.clock.now - engine.started < self.warm_after
 
@@ -46,14 +46,14 @@
         if drawn >= self.cold_share * min(1.0, 1.0 / unheard, 1.0 / self.lead(engine)):
             return False
         each, together = self.parts_of(engine.kind.role)
-        cold = [e for e in self.pools[engine.kind.role] if e.cold_sends and self.cold(e)]
+        cold = [e for e in self.pools[engine.kind.role] if e.cold_sends and self.is_cold(e)]
         return self.sent_cold(engine) < max(1.0, each) and sum(map(self.sent_cold, cold)) < max(1.0, together)
 
     def takes_second_draw(self, engine: Engine, session: str) -> bool:
         """Guards against second draws, which prefer an empty cold engine for its few tokens and are not
         counted in what leads there: a part of them is taken, by a hash, where the first may be had. Where few
         texts are known the one more that is counted stands for them. Could harm by a longer queue there."""
-        if not self.cold(engine) or len(self.recent) < TEXTS_KNOWN:
+        if not self.is_cold(engine) or len(self.recent) < TEXTS_KNOWN:
             return True
         return hashed(f"second:{engine.number}:{session}") < SECOND_PART * 65536
 
@@ -81,7 +81,7 @@
             nonlocal left
             self.drawn[engine] = self.drawn.get(engine, 0.0) + left
             left *= 1.0 - self.cold_share
-            return not self.cold(engine)
+            return not self.is_cold(engine)
 
         ring.draw(key, ends_at)
 
@@ -91,7 +91,7 @@
         at, each, together = self.parts.get(role, (-1.0, 0.0, 0.0))
         if at != self.clock.now:
             pool = self.pools[role]
-            warm = [e for e in pool if not self.cold(e)]
+            warm = [e for e in pool if not self.is_cold(e)]
             rate = self.answer_rate(warm or pool) / max(1, len(warm or pool))
             each = self.cold_share * rate * self.window
             together = each * (len(pool) - len(warm))
--- a/heathford/policy/transfer.py
+++ b/heathford/policy/transfer.py
@@ -15,7 +15,7 @@
 MOST_OF_LEFT = 0.5  # share of the time left that is kept for a send at most
 LATE_BY = 0.1  # s after its time until a send is given up: what the kernel has then follows in 0.15 s
 STALLED_AFTER = 0.1  # s in which nothing moves until a send is given up
-LOOK_EVERY = 0.02  # s between two looks at a send
+PROGRESS_CHECK_INTERVAL = 0.02  # s between two looks at a send
 KNOWN_FOR = 10.0  # s for which a connection counts as it was last seen
 RISE = 0.5  # share of a faster send that is believed; a slower one is believed at once
 TIDIED_AT = 512  # engines remembered from which those are forgotten whose time is over
@@ -25,7 +25,7 @@
 class SendState(Enum):
     """How a send goes that is under way."""
 
-    MOVES = "its bytes move"
+    PROGRESSING = "its bytes move"
     STALLED = "nothing has moved for a while"
     BEHIND = "it takes longer than the deadline told allows for"
 
@@ -41,7 +41,7 @@
     engine: int
     size: int
     begun: float
-    promised: float
+    reserved_time: float
     moved: int = 0
     looked_at: float = 0.0
     spent: float = 0.0
@@ -50,15 +50,15 @@
     def __post_init__(self) -> None:
         self.looked_at = self.begun
 
-    def look(self, now: float, moved: int) -> SendState:
+    def check_progress(self, now: float, moved: int) -> SendState:
         """How it goes by now."""
-        passed, self.looked_at = min(now - self.looked_at, 2 * LOOK_EVERY), now
+        passed, self.looked_at = min(now - self.looked_at, 2 * PROGRESS_CHECK_INTERVAL), now
         self.spent += passed
         self.still_for = 0.0 if moved > self.moved else self.still_for + passed
         self.moved = moved
         if self.stalled:
             return SendState.STALLED
-        return SendState.BEHIND if now - self.begun >= self.promised + LATE_BY else SendState.MOVES
+        return SendState.BEHIND if now - self.begun >= self.reserved_time + LATE_BY else SendState.PROGRESSING
 
     @property
     def stalled(self) -> bool:
@@ -77,7 +77,7 @@
         """Learn from one that has arrived, or is given up as too slow."""
         if send.size < LONG and send.moved >= send.size:
             return
-        rate = max(1, send.moved) / max(send.spent, LOOK_EVERY)
+        rate = max(1, send.moved) / max(send.spent, PROGRESS_CHECK_INTERVAL)
         before, at = self.rates.get(send.engine, (0.0, -inf))
         if before < rate and now - at < KNOWN_FOR:
             rate = before + RISE * (rate - before)
@@ -99,7 +99,7 @@
             return None
         return size / rate
 
-    def begin(self, engine: int, size: int, left: float, now: float) -> Send:
+    def start(self, engine: int, size: int, left: float, now: float) -> Send:
         """A send that begins now; left: s that remain to its deadline."""
         expected = self.expected(engine, size, now)
         seconds = size / PRESUMED_RATE if expected is None else expected
--- a/heathford/sessions/rpc.py
+++ b/heathford/sessions/rpc.py
@@ -111,27 +111,27 @@
     def freed(self) -> None:
         self.outlet.freed()
 
-    def chunk(self, key: Any, completion: str, text: str) -> None:
+    def chunk(self, key: Any, request: str, text: str) -> None:
         self.say(
             {
                 "jsonrpc": "2.0",
                 "method": "completions.chunk",
                 "params": {
                     "id": key,
-                    "completion": completion,
+                    "completion": request,
                     "object": "text_completion",
                     "choices": [{"index": 0, "text": text, "finish_reason": None}],
                 },
             }
         )
 
-    def finished(self, key: Any, completion: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
+    def finished(self, key: Any, request: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
         self.say(
             {
                 "jsonrpc": "2.0",
                 "id": key,
                 "result": {
-                    "id": completion,
+                    "id": request,
                     "object": "text_completion",
                     "final": "finished",
                     "usage": usage,
@@ -140,14 +140,14 @@
             }
         )
 
-    def rate_limited(self, key: Any, completion: str, retry_after: float) -> None:
-        data: dict[str, Any] = {"completion": completion} if completion else {}
+    def rate_limited(self, key: Any, request: str, retry_after: float) -> None:
+        data: dict[str, Any] = {"completion": request} if request else {}
         data |= {"retry_after": retry_after, "final": "rate-limited"} | told(after_refusal(), self.version)
         self.error(key, RATE_LIMITED, "rate-limited", data)
 
-    def aborted(self, key: Any, completion: str, why: str, retry: Retry) -> None:
+    def aborted(self, key: Any, request: str, why: str, retry: Retry) -> None:
         data = {"final": "aborted"} | told(retry, self.version)
-        data |= {"completion": completion} if completion else {}
+        data |= {"completion": request} if request else {}
         self.error(key, ABORTED, why, data)
 
     def conflict(self, key: Any) -> None:
--- a/heathford/standin/link.py
+++ b/heathford/standin/link.py
@@ -6,7 +6,7 @@
 from typing import Any
 
 from heathford.core.doors import Arrival, CallEvents, Endpoint, EnginesCountAsAlive, ReleaseEvents
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
 
@@ -54,7 +54,7 @@
     def cancel(self) -> None:
         self.cancelled = True
         self.done()
-        self.events.ended(Verdict.CANCELLED, 0, {}, {})
+        self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
     def moves(self) -> bool:
         """What was sent has arrived, here."""
@@ -74,16 +74,16 @@
     def go(self) -> None:
         if self.link.held or self.cancelled:
             return
-        if self.endpoint.role is Role.READER:
+        if self.endpoint.role is Role.PREFILL:
             self.done()
-            self.events.ended(Verdict.READ, 0, {}, {"kv": {"x": 1}})
+            self.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"x": 1}})
             return
         if not self.given:
             self.events.first_token()
         most = self.body["max_tokens"]
         if most == self.link.breaks:
             self.done()
-            self.events.ended(Verdict.BROKEN, 0, {}, {})
+            self.events.ended(Outcome.BROKEN, 0, {}, {})
             return
         while self.given < most and not self.cancelled:
             self.given += 1
@@ -94,5 +94,5 @@
         if not self.cancelled:
             self.done()
             self.events.ended(
-                Verdict.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.given}}
+                Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.given}}
             )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,8 +11,8 @@
 from heathford.core.doors import Arrival, CallEvents, Endpoint, ReleaseEvents
 from heathford.core.gate import Gate, Rule
 from heathford.core.taken import Taken
-from heathford.interface import Effect, Group, Health, Kind, Role, Verdict, Workload
-from heathford.policy import Completion, Router
+from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
+from heathford.policy import RequestState, Router
 from heathford.policy.transfer import TransferRates
 
 pytest_plugins = ["pytester", "known_red"]
@@ -26,7 +26,11 @@
     gc.freeze()
 
 
-KINDS = [Kind(Role.READER, 200_000), Kind(Role.WRITER, 150_000), Kind(Role.MIXED, 200_000)]
+KINDS = [
+    EngineKind(Role.PREFILL, 200_000),
+    EngineKind(Role.DECODE, 150_000),
+    EngineKind(Role.COMBINED, 200_000),
+]
 
 
 class Bench:
@@ -61,23 +65,30 @@
 
     def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
         """Rows of number and kind; the cell is the number's tens, the zone its hundreds."""
-        self.router.list_begins(complete=False)
+        self.router.begin_list_update(complete=False)
         for number, kind in rows:
-            self.router.list_row(number, number // 100, kind, number // 10, health, 1.0, started)
-        self.router.list_ends()
+            self.router.update_engine(number, number // 100, kind, number // 10, health, 1.0, started)
+        self.router.end_list_update()
 
-    def take(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> Completion:
+    def take(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> RequestState:
         fields: dict[str, Any] = dict(
-            workload=0, member=0, shared_tokens=0, longest=200, answer_hint=0.0, due=self.now + 5.0
+            workload=0,
+            tenant=0,
+            shared_tokens=0,
+            max_answer_tokens=200,
+            answer_hint=0.0,
+            deadline=self.now + 5.0,
+        )
+        completion = self.router.accept(
+            self, session=session, shared=shared, prompt=prompt, **(fields | more)
         )
-        completion = self.router.take(self, session=session, shared=shared, prompt=prompt, **(fields | more))
         self.router.decide()
         return completion
 
     def end(
         self,
-        completion: Completion,
-        verdict: Verdict,
+        completion: RequestState,
+        verdict: Outcome,
         *,
         after: float = 0.1,
         detail: int = 0,
@@ -85,13 +96,13 @@
         **load: float,
     ) -> None:
         self.now += after
-        seq = len(completion.dispatches) - 1
+        seq = len(completion.attempts) - 1
         completion.ended(seq, verdict, after, closed, detail, load)
         self.router.decide()
 
-    def first(self, completion: Completion, after: float = 0.1) -> None:
+    def first(self, completion: RequestState, after: float = 0.1) -> None:
         self.now += after
-        completion.first_token(len(completion.dispatches) - 1, after)
+        completion.first_token(len(completion.attempts) - 1, after)
         self.router.decide()
 
     def wait(self, seconds: float) -> None:
@@ -191,7 +202,7 @@
 
     def cancel(self) -> None:
         self.cancelled = True
-        self.events.ended(Verdict.CANCELLED, 0, {}, {})
+        self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
     def moves(self) -> bool:
         """What was sent has arrived, here."""
@@ -204,7 +215,7 @@
     def withdraw(self) -> None:
         if not self.begun:
             self.withdrawn = True
-            self.events.ended(Verdict.UNSENT, 0, {}, {})
+            self.events.ended(Outcome.UNSENT, 0, {}, {})
 
 
 class ReleaseHeard:
@@ -330,7 +341,7 @@
 
     def read(self) -> None:
         out = self.link.out[-1]
-        out.events.ended(Verdict.READ, 0, {}, {"kv": {"remote_request_id": out.name}})
+        out.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": out.name}})
         self.loop.turn()
 
 
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -10,8 +10,8 @@
 from itertools import count
 from random import Random
 
-from heathford.interface import Effect, Group, Health, Kind, Role, Verdict, Workload
-from heathford.policy import Completion, Router
+from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
+from heathford.policy import RequestState, Router
 
 WINDOW = 1.0  # s in which the rule counts
 WARM_AFTER = 9.0  # s
@@ -30,8 +30,8 @@
 SHARING = 0.9  # of the requests begin with one of the texts
 
 LAYOUTS = {
-    "combined": [Kind(Role.MIXED, 0)],
-    "separate": [Kind(Role.READER, 0), Kind(Role.WRITER, 0)],
+    "combined": [EngineKind(Role.COMBINED, 0)],
+    "separate": [EngineKind(Role.PREFILL, 0), EngineKind(Role.DECODE, 0)],
 }
 
 
@@ -40,7 +40,7 @@
 
     def __init__(self, fleet: "Fleet", front: "FrontNode") -> None:
         self.fleet, self.front, self.attempts = fleet, front, 0
-        self.handle: Completion | None = None
+        self.handle: RequestState | None = None
 
     def send(self, engine: int, timeout: float) -> None:
         self.fleet.begin(self, self.attempts, engine, timeout)
@@ -88,11 +88,11 @@
         self.tell(True, list(fleet.started))
 
     def tell(self, complete: bool, engines: list[int]) -> None:
-        self.router.list_begins(complete)
+        self.router.begin_list_update(complete)
         for engine in engines:
             kind = engine % len(self.fleet.kinds)
-            self.router.list_row(engine, 0, kind, engine % 4, Health.ON, 1.0, self.fleet.started[engine])
-        self.router.list_ends()
+            self.router.update_engine(engine, 0, kind, engine % 4, Health.ON, 1.0, self.fleet.started[engine])
+        self.router.end_list_update()
 
     def wake(self, after: float) -> None:
         self.fleet.at(self.fleet.now + after, self.router.decide)
@@ -108,7 +108,7 @@
     def __init__(
         self,
         fronts: int,
-        kinds: list[Kind],
+        kinds: list[EngineKind],
         cold: int,
         seed: int,
         capacity: float = CAPACITY,
@@ -161,7 +161,7 @@
         shared = str(text) if self.random.random() < SHARING else ""
         prompt = self.random.choice((300, 1500, 3000, 6000))
         session = str(self.random.random())
-        door.handle = node.router.take(
+        door.handle = node.router.accept(
             door, 0, 0, session, shared, prompt, prompt // 2 if shared else 0, 100, 0.0, self.now + 4.0
         )
         node.router.decide()
@@ -175,22 +175,22 @@
         takes = self.busy_until[engine] - self.now + 0.05
         role = self.kinds[engine % len(self.kinds)].role
         if takes >= timeout:
-            self.later(timeout, door, attempt, Verdict.TIMED_OUT)
-        elif role is Role.READER:
-            self.later(takes, door, attempt, Verdict.READ)
+            self.later(timeout, door, attempt, Outcome.TIMED_OUT)
+        elif role is Role.PREFILL:
+            self.later(takes, door, attempt, Outcome.PREFILLED)
         else:
             self.at(self.now + takes, lambda: self.first_token(door, attempt, takes))
-            self.later(takes + 1.0, door, attempt, Verdict.FINISHED)
+            self.later(takes + 1.0, door, attempt, Outcome.FINISHED)
 
     def first_token(self, door: RequestDoor, attempt: int, latency: float) -> None:
         assert door.handle
         door.handle.first_token(attempt, latency)
         door.front.router.decide()
 
-    def later(self, after: float, door: RequestDoor, attempt: int, verdict: Verdict) -> None:
+    def later(self, after: float, door: RequestDoor, attempt: int, verdict: Outcome) -> None:
         def end() -> None:
             assert door.handle
-            door.handle.ended(attempt, verdict, after, verdict is Verdict.FINISHED, 0, {})
+            door.handle.ended(attempt, verdict, after, verdict is Outcome.FINISHED, 0, {})
             door.front.router.decide()
 
         self.at(self.now + after, end)
--- a/tests/test_bootinfo.py
+++ b/tests/test_bootinfo.py
@@ -114,12 +114,12 @@
 
 def test_group_and_time_count_for_tokened_workloads() -> None:
     tokened, other = figures_of(changed("categories.0", GUARDED))["workloads"]
-    assert (tokened.effect, tokened.group, tokened.memory_time) == (Effect.TOKENED, Group.CELL, 2.0)
+    assert (tokened.effect, tokened.group, tokened.key_ttl) == (Effect.IDEMPOTENCY_KEYED, Group.CELL, 2.0)
     assert (other.effect, other.group, other.value) == (Effect.NON_IDEMPOTENT, Group.ALL, 1.0)
 
 
 def test_kinds_take_their_roles_in_turn() -> None:
-    assert [kind.role for kind in figures_of(settings())["kinds"]] == [Role.READER, Role.WRITER]
+    assert [kind.role for kind in figures_of(settings())["kinds"]] == [Role.PREFILL, Role.DECODE]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -9,8 +9,8 @@
 
 from heathford.core.dispatch import Dispatch
 from heathford.core.taken import Taken
-from heathford.interface import Effect, Health, Verdict
-from heathford.policy import Completion
+from heathford.interface import Effect, Health, Outcome
+from heathford.policy import RequestState
 
 New = Callable[..., Instance]
 FLEET = ((10, 0), (12, 1), (13, 1))
@@ -32,15 +32,15 @@
 def test_a_completion_goes_reader_then_writer_and_finishes_once(instance: New) -> None:
     i, client, _ = streaming(instance)
     out = i.link.out[-1]
-    out.events.ended(Verdict.FINISHED, 0, {}, {"reason": "stop", "usage": {}})
-    out.events.ended(Verdict.BROKEN, 0, {}, {})
+    out.events.ended(Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {}})
+    out.events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.pass_time(10.0)
     assert client.finals == ["finished"] and client.text == ["a"] and not i.core.live
     assert [o.engine[:2] for o in i.link.out] == ["e1", "e1"] and i.link.released == []
 
 
-@pytest.mark.parametrize("verdict", [Verdict.BROKEN, Verdict.TIMED_OUT, Verdict.ERROR])
-def test_a_stream_that_breaks_is_aborted_and_not_sent_again(instance: New, verdict: Verdict) -> None:
+@pytest.mark.parametrize("verdict", [Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
+def test_a_stream_that_breaks_is_aborted_and_not_sent_again(instance: New, verdict: Outcome) -> None:
     i, client, _ = streaming(instance)
     i.link.out[-1].events.ended(verdict, 0, {}, {})
     i.loop.pass_time(10.0)
@@ -65,7 +65,7 @@
     out = i.link.out[-1]
     out.events.first_token()
     out.events.tokens("a")
-    out.events.ended(Verdict.TIMED_OUT, 0, {}, {})
+    out.events.ended(Outcome.TIMED_OUT, 0, {}, {})
     i.loop.pass_time(10.0)
     assert len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(i.link.out) == 2
 
@@ -73,20 +73,20 @@
 def test_news_after_the_final_answer_changes_nothing(instance: New) -> None:
     i, client, _ = streaming(instance)
     out = i.link.out[-1]
-    out.events.ended(Verdict.FINISHED, 0, {}, {})
+    out.events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     out.events.first_token()
     out.events.tokens("late")
-    out.events.ended(Verdict.FINISHED, 0, {}, {})
+    out.events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.pass_time(10.0)
     assert client.finals == ["finished"] and client.text == ["a"]
 
 
 def test_the_list_says_gone_while_a_stream_runs(instance: New) -> None:
     i, client, _ = streaming(instance)
-    i.engines(*FLEET, health=Health.GONE)
+    i.engines(*FLEET, health=Health.REMOVED)
     i.link.out[-1].events.tokens("b")
-    i.link.out[-1].events.ended(Verdict.FINISHED, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     assert client.finals == ["finished"] and client.text == ["a", "b"]
 
@@ -124,7 +124,7 @@
         i.loop.pass_time(0.01)
         for out in [o for o in i.link.out if not o.cancelled and not o.events.over]:  # type: ignore[attr-defined]
             if i.loop.now >= 103.9:
-                out.events.ended(Verdict.TIMED_OUT, 0, {}, {})
+                out.events.ended(Outcome.TIMED_OUT, 0, {}, {})
                 i.loop.turn()
     assert client.finals == [final] and not i.core.live
 
@@ -140,18 +140,18 @@
     assert client.finals == ["aborted: out of time"] and not i.core.live and i.core.tally.late == 1
 
 
-@pytest.mark.parametrize("where", ["placed", "has_taker", "risky"])
+@pytest.mark.parametrize("where", ["try_place", "has_eligible_engine", "possibly_run_attempts"])
 def test_one_completion_whose_decision_raises_is_aborted_alone(
     instance: New, monkeypatch: pytest.MonkeyPatch, where: str
 ) -> None:
     i = instance()
     i.engines(*FLEET)
     victim: list[Any] = []
-    owner = Completion if where == "risky" else type(i.core.router)
+    owner = RequestState if where == "possibly_run_attempts" else type(i.core.router)
     true = getattr(owner, where)
 
     def faulty(self: Any, *args: Any) -> Any:
-        if (self if where == "risky" else args[0]) in victim:
+        if (self if where == "possibly_run_attempts" else args[0]) in victim:
             raise ZeroDivisionError("seeded")
         return true(self, *args)
 
@@ -164,10 +164,10 @@
     while any(not c.finals for c in clients):
         for out in [o for o in i.link.out if not o.events.over]:  # type: ignore[attr-defined]
             if out.kv is None and out.engine == "e10":
-                out.events.ended(Verdict.READ, 0, {}, {"kv": {"remote_request_id": out.name}})
+                out.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": out.name}})
             else:
                 out.events.first_token()
-                out.events.ended(Verdict.FINISHED, 0, {}, {})
+                out.events.ended(Outcome.FINISHED, 0, {}, {})
             i.loop.turn()
         i.loop.pass_time(0.05)
         assert i.loop.now < 110.0
@@ -179,14 +179,14 @@
     i = instance()
     i.engines(*FLEET)
     i.take()
-    i.link.out[0].events.ended(Verdict.TIMED_OUT, 0, {}, {})
+    i.link.out[0].events.ended(Outcome.TIMED_OUT, 0, {}, {})
     assert i.link.released == ["cmpl-f-1.0"]
 
 
 def test_a_sink_that_raises_harms_nobody_else(instance: New) -> None:
     i, client, _ = streaming(instance)
     client.finished = lambda *a: 1 / 0
-    i.link.out[-1].events.ended(Verdict.FINISHED, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     assert not i.core.live and i.core.tally.finished == 1
 
@@ -200,9 +200,9 @@
     client, taken = i.take()
     i.loop.pass_time(10.0)
     assert client.finals == ["aborted: out of time"]
-    taken.dispatches[0].ended(Verdict.CANCELLED, 0, {}, {})
+    taken.dispatches[0].ended(Outcome.CANCELLED, 0, {}, {})
     i.loop.turn()
-    assert not i.core.live and not any(e.out for e in i.core.router.engines.values())
+    assert not i.core.live and not any(e.in_flight for e in i.core.router.engines.values())
 
 
 class Lost:
@@ -223,11 +223,11 @@
     i, taken = named(instance)
     first = i.link.out[-1]
     assert first.name == "c0"
-    first.events.ended(Verdict.BROKEN, 0, {}, {})  # a read that may have left a state
+    first.events.ended(Outcome.BROKEN, 0, {}, {})  # a read that may have left a state
     i.loop.turn()
     second = i.link.out[-1]
     assert second is not first and second.name == "c0" and i.link.released == ["c0"]
-    second.events.ended(Verdict.UNREACHABLE, 0, {}, {})
+    second.events.ended(Outcome.UNREACHABLE, 0, {}, {})
     i.loop.pass_time(0.6)  # the only reader rests
     assert i.link.out[-1] is not second and i.link.released == ["c0"]
     taken.leave()
@@ -239,20 +239,20 @@
     """Seen on a fleet with a zone cut off: read at 19.72 s, its writer not reached by 19.97, the release kept
     back until two further dispatches could not connect either: 20.48, past what is allowed."""
     i, _ = named(instance)
-    i.link.out[-1].events.ended(Verdict.READ, 0, {}, {"kv": {}})
+    i.link.out[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
     i.loop.turn()
     i.loop.pass_time(0.25)
-    i.link.out[-1].events.ended(Verdict.UNREACHABLE, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.UNREACHABLE, 0, {}, {})
     i.loop.turn()
     assert len(i.link.out) == 3 and i.link.released == ["c0"]
 
 
 def test_under_one_name_a_release_spares_a_state_that_waits_for_a_writer(instance: New) -> None:
     i, _ = named(instance, cold_multiple=0.0)  # so that cold writers let nothing in
-    i.link.out[-1].events.ended(Verdict.BROKEN, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.turn()
     i.engines((12, 1), (13, 1), started=i.loop.now)
-    i.link.out[-1].events.ended(Verdict.READ, 0, {}, {"kv": {}})
+    i.link.out[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
     i.loop.turn()
     assert i.link.released == ["c0"]  # of the read that broke
     i.loop.pass_time(0.3)
@@ -261,7 +261,7 @@
 
 def test_what_can_not_be_sent_again_is_let_go(instance: New) -> None:
     i, taken = named(instance)
-    i.link.out[-1].events.ended(Verdict.READ, 0, {}, {"kv": {}})
+    i.link.out[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
     i.loop.turn()
     assert taken.body == "body"
     i.link.out[-1].events.first_token()
@@ -272,7 +272,7 @@
     i = instance()
     for n in range(500):
         i.engines((n, 0), (n + 1, 1))
-        i.engines((n, 0), health=Health.GONE)
+        i.engines((n, 0), health=Health.REMOVED)
     assert len(i.core.endpoints) <= 2 and len(i.core.router.engines) <= 2
 
 
@@ -283,25 +283,27 @@
     for n in range(1500):
         if n % 10 == 0:
             i.engines((n, 0), (n + 1, 1), (n + 2, 2))
-            i.engines((n - 10, 0), (n - 9, 1), (n - 8, 2), health=Health.GONE)
+            i.engines((n - 10, 0), (n - 9, 1), (n - 8, 2), health=Health.REMOVED)
         i.core.take(Client(), 0, 0, f"s{n}", f"p{n}", 5000, 100, 100, 4.0, "body", name=f"c{n}")
         i.loop.turn()
         if i.link.out[-1].engine == f"e{n // 10 * 10}":
-            i.link.out[-1].events.ended(Verdict.READ, 0, {}, {"kv": {}})
+            i.link.out[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
             i.loop.turn()
         i.link.out[-1].events.first_token()
-        i.link.out[-1].events.ended(Verdict.FINISHED, 0, {}, {})
+        i.link.out[-1].events.ended(Outcome.FINISHED, 0, {}, {})
         i.loop.pass_time(0.05)
         i.link.out.clear()
     assert i.core.tally.finished == 1500 and not i.core.live
     gc.collect()
     core = i.core
-    left = [o for o in gc.get_objects() if isinstance(o, Completion) and o.router is core.router]
+    left = [o for o in gc.get_objects() if isinstance(o, RequestState) and o.router is core.router]
     held = [o for o in gc.get_objects() if isinstance(o, Taken) and o.core is core]
     sent = [o for o in gc.get_objects() if isinstance(o, Dispatch) and o.taken.core is core]
     assert len(left) + len(held) + len(sent) <= 10
     assert len(core.endpoints) <= 6 and len(core.router.engines) <= 6
-    assert not any(e.keeps for e in core.router.last_mixed.values() if e.number not in core.router.engines)
+    assert not any(
+        e.cached for e in core.router.last_combined.values() if e.number not in core.router.engines
+    )
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -59,8 +59,8 @@
 
 
 def test_of_a_request_that_waits_in_the_queue(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
-    pick, closed = Router.pick_reader, [True]
-    monkeypatch.setattr(Router, "pick_reader", lambda *rest: None if closed[0] else pick(*rest))
+    pick, closed = Router.pick_prefill_engine, [True]
+    monkeypatch.setattr(Router, "pick_prefill_engine", lambda *rest: None if closed[0] else pick(*rest))
 
     async def day(play: Day) -> None:
         a, b = play.engines
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -51,7 +51,7 @@
         self.calls: list[tuple[float, CallKind]] = []
         self.known: dict[str, Health] = {}
         self.acted: dict[tuple[str, Health], float] = {}  # when the follower first said so
-        self.endpoints = Instances({"m": (0, Role.WRITER)}, ["z"])
+        self.endpoints = Instances({"m": (0, Role.DECODE)}, ["z"])
         self.follower = DiscoveryFollower(self.endpoints, self.changed)
 
     # What the follower says.
@@ -59,7 +59,7 @@
     def changed(self, change: ListChange) -> None:
         said = {row[0].name: row[4] for row in change.rows}
         if change.complete:
-            said |= {name: Health.GONE for name in self.known if name not in said}
+            said |= {name: Health.REMOVED for name in self.known if name not in said}
         self.known |= said
         for name, health in said.items():
             self.acted.setdefault((name, health), self.now)
@@ -323,7 +323,7 @@
         discovery.change("b", "DELETED")
         discovery.version = 100
         discovery.change("c", "SERVING")
-        assert discovery.known == {"a": Health.DRAINING, "b": Health.GONE, "c": Health.ON}
+        assert discovery.known == {"a": Health.DRAINING, "b": Health.REMOVED, "c": Health.ON}
         discovery.version, discovery.states = 5, {"a": "SERVING", "b": "SERVING", "c": "SERVING"}
         return discovery
 
@@ -335,7 +335,7 @@
 
     def test_nothing_drained_or_gone_serves_again(self, discovery: Discovery) -> None:
         self.restart(discovery)
-        assert discovery.known == {"a": Health.DRAINING, "b": Health.GONE, "c": Health.ON}
+        assert discovery.known == {"a": Health.DRAINING, "b": Health.REMOVED, "c": Health.ON}
 
     def test_its_further_changes_count(self, discovery: Discovery) -> None:
         self.restart(discovery)
--- a/tests/test_engine_ages.py
+++ b/tests/test_engine_ages.py
@@ -8,7 +8,7 @@
 from heathford.interface import Role
 
 TRUE = 1_700_000_000.0  # s since 1970 at zero on the front's clock
-KINDS = {"m0": (0, Role.READER), "m1": (1, Role.WRITER)}
+KINDS = {"m0": (0, Role.PREFILL), "m1": (1, Role.DECODE)}
 AHEAD = [0.0, 5.0, 3_600.0]
 
 
--- a/tests/test_fairness_play.py
+++ b/tests/test_fairness_play.py
@@ -10,7 +10,7 @@
 import pytest
 from policy_fleet import BEGIN, CAPACITY, ENGINES, LAYOUTS, LOAD, Fleet, FrontNode, RequestDoor
 
-from heathford.interface import Effect, Group, Kind, Role, Verdict, Workload
+from heathford.interface import Effect, Group, EngineKind, Role, Outcome, Workload
 
 DAY = 24.0  # s in which requests arrive
 FRONTS = 12
@@ -28,11 +28,11 @@
     ],
     "many classes": [
         Workload(0.5, 0.03, 0.04, Effect.IDEMPOTENT, Group.ALL, 0.0, 1.0),
-        Workload(1.0, 0.04, 0.06, Effect.TOKENED, Group.ZONE, 1.2, 3.0),
+        Workload(1.0, 0.04, 0.06, Effect.IDEMPOTENCY_KEYED, Group.ZONE, 1.2, 3.0),
         Workload(1.5, 0.04, 0.06, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 8.0),
-        Workload(2.0, 0.05, 0.06, Effect.TOKENED, Group.CELL, 9.0, 2.0),
+        Workload(2.0, 0.05, 0.06, Effect.IDEMPOTENCY_KEYED, Group.CELL, 9.0, 2.0),
         Workload(12.0, 0.15, 0.12, Effect.IDEMPOTENT, Group.ALL, 0.0, 0.2),
-        Workload(4.0, 0.06, 0.08, Effect.TOKENED, Group.ALL, 3.0, 4.0),
+        Workload(4.0, 0.06, 0.08, Effect.IDEMPOTENCY_KEYED, Group.ALL, 3.0, 4.0),
     ],
     "one class": [Workload(0.8, 0.04, 0.06, Effect.NON_IDEMPOTENT, Group.ALL, 0.0, 1.0)],
 }
@@ -51,7 +51,7 @@
 class World(Fleet):
     """Requests of several classes and sizes; their engines read one after the other."""
 
-    def __init__(self, load: float, kinds: list[Kind], classes: list[Workload], seed: int) -> None:
+    def __init__(self, load: float, kinds: list[EngineKind], classes: list[Workload], seed: int) -> None:
         self.load, self.classes = load, classes
         self.asked: dict[RequestDoor, Asked] = {}
         super().__init__(FRONTS, kinds, cold=0, seed=seed, day=DAY)
@@ -68,7 +68,7 @@
         door = RequestDoor(self, node)
         self.asked[door] = Asked(place, session, prompt)
         target = self.classes[place].latency_target
-        door.handle = node.router.take(
+        door.handle = node.router.accept(
             door,
             place,
             0,
@@ -85,16 +85,16 @@
     def begin(self, door: RequestDoor, attempt: int, engine: int, timeout: float) -> None:
         role = self.kinds[engine % len(self.kinds)].role
         mean = 1645.0  # tokens: of prompts drawn as above
-        work = 0.0 if role is Role.WRITER else self.asked[door].prompt / mean / CAPACITY * self.load / LOAD
+        work = 0.0 if role is Role.DECODE else self.asked[door].prompt / mean / CAPACITY * self.load / LOAD
         self.busy_until[engine] = max(self.now, self.busy_until[engine]) + work
         takes = self.busy_until[engine] - self.now + 0.02
         if takes >= timeout:
-            self.later(timeout, door, attempt, Verdict.TIMED_OUT)
-        elif role is Role.READER:
-            self.later(takes, door, attempt, Verdict.READ)
+            self.later(timeout, door, attempt, Outcome.TIMED_OUT)
+        elif role is Role.PREFILL:
+            self.later(takes, door, attempt, Outcome.PREFILLED)
         else:
             self.at(self.now + takes, partial(self.first_token, door, attempt, takes))
-            self.later(takes + 1.0, door, attempt, Verdict.FINISHED)
+            self.later(takes + 1.0, door, attempt, Outcome.FINISHED)
 
     def first_token(self, door: RequestDoor, attempt: int, latency: float) -> None:
         self.asked[door].answered = True
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -10,7 +10,7 @@
 from raw_peers import Day, decode, front_node, prefill, request, run_day, turns, until
 
 from heathford.core.doors import Endpoint
-from heathford.interface import Health, Role, Verdict
+from heathford.interface import Health, Role, Outcome
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.client_server import ClientServer
 from heathford.policy import Router
@@ -56,12 +56,12 @@
     client, taken = i.take()
     i.loop.pass_time(0.2)
     assert raised and taken.out is taken.dispatches[1] and not client.finals
-    assert sum(len(engine.out) for engine in i.core.router.engines.values()) == 1
+    assert sum(len(engine.in_flight) for engine in i.core.router.engines.values()) == 1
 
 
-@pytest.mark.parametrize("verdict", [Verdict.READ, Verdict.BROKEN])
+@pytest.mark.parametrize("verdict", [Outcome.PREFILLED, Outcome.BROKEN])
 def test_what_ends_for_an_abandoned_request_is_not_out_at_its_engine_for_good(
-    instance: Make, monkeypatch: pytest.MonkeyPatch, verdict: Verdict
+    instance: Make, monkeypatch: pytest.MonkeyPatch, verdict: Outcome
 ) -> None:
     i = instance(may_cancel=False)
     i.engines((1, 0), (2, 1))
@@ -69,7 +69,7 @@
     taken.abandon("a fault")
     i.loop.turn()
     assert client.finals == ["aborted: a fault"] and not i.core.live
-    assert sum(len(engine.out) for engine in i.core.router.engines.values()) == 0
+    assert sum(len(engine.in_flight) for engine in i.core.router.engines.values()) == 0
 
 
 def endpoint(number: int, role: Role) -> Endpoint:
@@ -83,8 +83,8 @@
     i.core.list_changed(
         False,
         [
-            (endpoint(3, Role.READER), 0, 99, 1, Health.ON, 1.0, 0.0),  # a kind that nobody knows
-            (endpoint(1, Role.READER), 0, 0, 1, Health.DRAINING, 1.0, 0.0),
+            (endpoint(3, Role.PREFILL), 0, 99, 1, Health.ON, 1.0, 0.0),  # a kind that nobody knows
+            (endpoint(1, Role.PREFILL), 0, 0, 1, Health.DRAINING, 1.0, 0.0),
         ],
     )
     i.loop.turn()
@@ -100,7 +100,7 @@
     i.engines((1, 0), (2, 1), (4, 0))
     again: list[None] = []
     i.core.list_not_taken = lambda: again.append(None)
-    raised = raising(monkeypatch, i.core.router, "list_ends")
+    raised = raising(monkeypatch, i.core.router, "end_list_update")
     i.engines((1, 0), (4, 0), health=Health.DRAINING)
     i.take()
     i.loop.pass_time(0.5)
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -17,7 +17,7 @@
     Stage,
     Target,
 )
-from heathford.interface import HELD_UP, NEVER_RAN, Effect, Group, Health, Verdict, Workload
+from heathford.interface import STALL_ALLOWANCE, NEVER_RAN, Effect, Group, Health, Outcome, Workload
 
 HERE = Place(Health.ON, zone=0, cell=0)
 SAME_ZONE = Place(Health.ON, zone=0, cell=1)
@@ -70,7 +70,7 @@
         (Health.ON, True, Reason.ALLOWED),
         (Health.ON, False, Reason.CLIENT_GONE),
         (Health.DRAINING, True, Reason.ENGINE_LEAVES),
-        (Health.GONE, True, Reason.ENGINE_LEAVES),
+        (Health.REMOVED, True, Reason.ENGINE_LEAVES),
     ],
 )
 def test_the_engine_and_the_client_are_asked_at_the_last_moment(
@@ -83,19 +83,25 @@
     assert watched.told == []
 
 
-@pytest.mark.parametrize("verdict", list(Verdict))
+@pytest.mark.parametrize("verdict", list(Outcome))
 @pytest.mark.parametrize("effect", list(Effect))
 def test_a_repeat_is_allowed_by_effect_and_by_what_the_earlier_one_may_have_done(
-    effect: Effect, verdict: Verdict, no_violations: list[str]
+    effect: Effect, verdict: Outcome, no_violations: list[str]
 ) -> None:
     watched, life = Watched(), life_of(effect)
     life.attempts = [Attempt(HERE, False, 0.0, verdict), Attempt(HERE, False, 0.1)]
-    never_ran = verdict in (Verdict.FULL, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.READ, Verdict.CROWDED)
+    never_ran = verdict in (
+        Outcome.FULL,
+        Outcome.UNREACHABLE,
+        Outcome.UNSENT,
+        Outcome.PREFILLED,
+        Outcome.NO_FREE_CONNECTION,
+    )
     allowed = never_ran or effect is not Effect.NON_IDEMPOTENT
     reason = watched.gate.may_send(life, life.attempts[1], HERE, True, 0.2)
     assert reason is (Reason.ALLOWED if allowed else Reason.MAY_HAVE_RUN)
     refusable = allowed
-    life.attempts[1].verdict = Verdict.UNSENT
+    life.attempts[1].verdict = Outcome.UNSENT
     assert (watched.gate.may_answer_refused(life) is Reason.ALLOWED) == refusable
     assert watched.told == [] if allowed else [Rule.NO_EFFECT_TWICE] * 2
     no_violations.clear()
@@ -112,21 +118,21 @@
 @pytest.mark.parametrize(
     "now, reason",
     [
-        (WINDOW - HELD_UP - 0.01, Reason.ALLOWED),
-        (WINDOW - HELD_UP, Reason.WINDOW_OVER),
+        (WINDOW - STALL_ALLOWANCE - 0.01, Reason.ALLOWED),
+        (WINDOW - STALL_ALLOWANCE, Reason.WINDOW_OVER),
         (WINDOW, Reason.WINDOW_OVER),
     ],
 )
 def test_the_window_allows_for_a_hold_up(now: float, reason: Reason) -> None:
-    watched, life = Watched(), life_of(Effect.TOKENED)
-    life.attempts = [Attempt(HERE, False, 0.0, Verdict.BROKEN), Attempt(HERE, False, 0.1)]
+    watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED)
+    life.attempts = [Attempt(HERE, False, 0.0, Outcome.BROKEN), Attempt(HERE, False, 0.1)]
     assert watched.gate.may_send(life, life.attempts[1], HERE, True, now) is reason
 
 
-@pytest.mark.parametrize("verdict", list(Verdict))
+@pytest.mark.parametrize("verdict", list(Outcome))
 @pytest.mark.parametrize("effect", list(Effect))
 def test_no_keyed_repeat_after_an_attempt_that_may_have_run_where_engines_may_read_late(
-    effect: Effect, verdict: Verdict, no_violations: list[str]
+    effect: Effect, verdict: Outcome, no_violations: list[str]
 ) -> None:
     """Guards against a repeat that its engine reads when the key is known no more."""
     watched, life = Watched(keyed_repeats=False), life_of(effect)
@@ -153,8 +159,8 @@
 def test_a_repeat_stays_in_its_group(
     group: Group, target: Target, reason: Reason, no_violations: list[str]
 ) -> None:
-    watched, life = Watched(), life_of(Effect.TOKENED, group)
-    life.attempts = [Attempt(HERE, False, 0.0, Verdict.BROKEN), Attempt(target, False, 0.1)]
+    watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED, group)
+    life.attempts = [Attempt(HERE, False, 0.0, Outcome.BROKEN), Attempt(target, False, 0.1)]
     assert watched.gate.may_send(life, life.attempts[1], target, True, 0.2) is reason
     no_violations.clear()
 
@@ -204,7 +210,7 @@
     i.take()
     i.read()
     i.link.out[-1].events.first_token()
-    i.link.out[-1].events.ended(Verdict.FINISHED, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     assert [(r.event, r.attempt, r.engine) for r in i.core.history.of("cmpl-f-1")] == [
         ("taken", -1, ""),
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -6,7 +6,7 @@
 from conftest import Instance, Out
 
 from heathford.core.doors import Arrival
-from heathford.interface import Effect, Verdict
+from heathford.interface import Effect, Outcome
 
 
 def read(instance: Callable[..., Instance], effect: Effect = Effect.IDEMPOTENT) -> tuple[Instance, str]:
@@ -31,7 +31,7 @@
 
 def test_each_step_of_a_release_is_told_with_its_engine(instance: Callable[..., Instance]) -> None:
     i, name = read(instance)
-    i.link.out[-1].events.ended(Verdict.FULL, 1, {}, {})
+    i.link.out[-1].events.ended(Outcome.FULL, 1, {}, {})
     i.loop.turn()
     release = i.link.releases[0]
     release.asked("e10")
@@ -55,7 +55,7 @@
     i.link.confirms = False
     i.engines((10, 0), (12, 1))
     _, taken = i.take()
-    i.link.out[-1].events.ended(Verdict.BROKEN, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.turn()
     assert "release: its prefill attempt ended unseen" in i.core.history.told(taken.name)
     i.link.releases[0].failed()
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -10,7 +10,7 @@
 from heathford.fleet.instances import LONGEST, Instances
 from heathford.interface import Health, Role
 
-KINDS = {"m0": (0, Role.READER), "m1": (1, Role.WRITER)}
+KINDS = {"m0": (0, Role.PREFILL), "m1": (1, Role.DECODE)}
 
 
 def entry(uid: str, **more: Any) -> dict[str, Any]:
@@ -44,7 +44,7 @@
         "s",
         "127.0.0.1",
         9000,
-        Role.WRITER,
+        Role.DECODE,
     )
     assert rest == [1, 1, 3, Health.ON, 1.5, 40.0]
 
@@ -58,7 +58,7 @@
         ),
         (
             [said(2, False, entry("a", state="DELETED")), said(1, True, entry("a"))],
-            [(False, [("a", Health.GONE)]), None],
+            [(False, [("a", Health.REMOVED)]), None],
         ),
         (
             [said(2, True, entry("a")), said(2, True, entry("a"))],
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_wall_clock_that_steps_in_service_makes_no_engine_older_or_younger(step: float) -> None:
     """An engine started 0.2 s ago is cold, one started long ago is warm, whatever the wall clock says."""
-    instances = Instances({"m0": (0, Role.READER)}, ["a"])
+    instances = Instances({"m0": (0, Role.PREFILL)}, ["a"])
     wall = 1_700_000_000.0
 
     def entry(uid: str, age: float, now: float) -> dict[str, Any]:
@@ -235,7 +235,7 @@
 
 def test_true_time_is_never_before_a_start_that_was_told() -> None:
     """The wall clock was an hour behind when the process started."""
-    instances = Instances({"m0": (0, Role.READER)}, ["a"])
+    instances = Instances({"m0": (0, Role.PREFILL)}, ["a"])
     true = 1_700_000_000.0
     entries = [
         {
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -13,7 +13,7 @@
 from heathford.core.doors import Endpoint
 from heathford.engines.link import EngineLink
 from heathford.engines.release_retries import TRIES, ReleaseRetries
-from heathford.interface import Effect, Group, Health, Kind, Role, Verdict, Workload
+from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
 TOKEN = b'data: {"choices":[{"text":" a","finish_reason":null}]}\n\n'
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self.events: list[str] = []
-        self.verdict: Verdict | None = None
+        self.verdict: Outcome | None = None
         self.detail = -1
         self.load: Mapping[str, float] = {}
         self.over = asyncio.Event()
@@ -54,7 +54,7 @@
         self.events.append(text)
 
     def ended(
-        self, verdict: Verdict, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
         assert self.verdict is None
         self.verdict, self.detail, self.load = verdict, detail, load
@@ -100,7 +100,7 @@
 
 
 def play(
-    says: bytes, then: str, role: Role = Role.WRITER, timeout: float = 0.3, cancel: bool = False
+    says: bytes, then: str, role: Role = Role.DECODE, timeout: float = 0.3, cancel: bool = False
 ) -> Seen:
     async def run() -> Seen:
         engine, seen = Scripted(says, then), Seen()
@@ -135,71 +135,71 @@
 @pytest.mark.parametrize(
     "says, then, verdict, detail",
     [
-        (GOOD, "close", Verdict.FINISHED, 4),
-        (GOOD, "keep", Verdict.FINISHED, 4),
-        (b"", "refuse", Verdict.UNREACHABLE, 0),
-        (b"", "reset before", Verdict.BROKEN, 0),
-        (b"", "reset", Verdict.BROKEN, 0),
-        (b"", "close", Verdict.BROKEN, 0),
-        (b"HTTP/1.1 2", "reset", Verdict.BROKEN, 0),
-        (HEAD, "close", Verdict.BROKEN, 0),
-        (HEAD + b"60\r\ndata: {", "close", Verdict.BROKEN, 0),
-        (HEAD + chunked(TOKEN)[:-5], "reset", Verdict.BROKEN, 0),
-        (b"", "silence", Verdict.TIMED_OUT, 0),
-        (HEAD, "silence", Verdict.TIMED_OUT, 0),
-        (HEAD + chunked(TOKEN)[:-5], "silence", Verdict.TIMED_OUT, 0),
-        (HEAD + chunked(TOKEN), "keep", Verdict.ERROR, 0),
-        (HEAD + chunked(), "keep", Verdict.ERROR, 0),
-        (HEAD + b"zz\r\n", "silence", Verdict.ERROR, 0),
-        (HEAD + b"2\r\nabc\r\n", "silence", Verdict.ERROR, 0),
-        (HEAD + chunked(b"data: {\n\n"), "keep", Verdict.ERROR, 0),
-        (HEAD + chunked(b'data: {"error":"x"}\n\n'), "keep", Verdict.ERROR, 0),
-        (HEAD + chunked(b'data: {"choices":[{"text":7}]}\n\n'), "keep", Verdict.ERROR, 0),
-        (HEAD + b"9000\r\n" + b"x" * 3000, "silence", Verdict.ERROR, 0),
-        (GOOD + b"more", "silence", Verdict.ERROR, 0),
-        (b"SSH-2.0-x\r\n", "silence", Verdict.ERROR, 0),
-        (b"HTTP/1.1 abc X\r\n\r\n", "silence", Verdict.ERROR, 0),
-        (b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "silence", Verdict.ERROR, 0),
-        (b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 500, "silence", Verdict.ERROR, 0),
-        (b"HTTP/1.1 100 Continue\r\n\r\n" + GOOD, "keep", Verdict.FINISHED, 4),
-        (whole(500, b"oops"), "keep", Verdict.ERROR, 0),
-        (whole(503, b"", b"Retry-After: 1\r\n"), "keep", Verdict.FULL, 0),
-        (whole(410, b'{"error":{"code":"kv_state_gone"}}'), "keep", Verdict.FULL, 1),
-        (whole(410, b"[]"), "keep", Verdict.ERROR, 0),
+        (GOOD, "close", Outcome.FINISHED, 4),
+        (GOOD, "keep", Outcome.FINISHED, 4),
+        (b"", "refuse", Outcome.UNREACHABLE, 0),
+        (b"", "reset before", Outcome.BROKEN, 0),
+        (b"", "reset", Outcome.BROKEN, 0),
+        (b"", "close", Outcome.BROKEN, 0),
+        (b"HTTP/1.1 2", "reset", Outcome.BROKEN, 0),
+        (HEAD, "close", Outcome.BROKEN, 0),
+        (HEAD + b"60\r\ndata: {", "close", Outcome.BROKEN, 0),
+        (HEAD + chunked(TOKEN)[:-5], "reset", Outcome.BROKEN, 0),
+        (b"", "silence", Outcome.TIMED_OUT, 0),
+        (HEAD, "silence", Outcome.TIMED_OUT, 0),
+        (HEAD + chunked(TOKEN)[:-5], "silence", Outcome.TIMED_OUT, 0),
+        (HEAD + chunked(TOKEN), "keep", Outcome.ERROR, 0),
+        (HEAD + chunked(), "keep", Outcome.ERROR, 0),
+        (HEAD + b"zz\r\n", "silence", Outcome.ERROR, 0),
+        (HEAD + b"2\r\nabc\r\n", "silence", Outcome.ERROR, 0),
+        (HEAD + chunked(b"data: {\n\n"), "keep", Outcome.ERROR, 0),
+        (HEAD + chunked(b'data: {"error":"x"}\n\n'), "keep", Outcome.ERROR, 0),
+        (HEAD + chunked(b'data: {"choices":[{"text":7}]}\n\n'), "keep", Outcome.ERROR, 0),
+        (HEAD + b"9000\r\n" + b"x" * 3000, "silence", Outcome.ERROR, 0),
+        (GOOD + b"more", "silence", Outcome.ERROR, 0),
+        (b"SSH-2.0-x\r\n", "silence", Outcome.ERROR, 0),
+        (b"HTTP/1.1 abc X\r\n\r\n", "silence", Outcome.ERROR, 0),
+        (b"HTTP/1.1 200 OK\r\nno colon\r\n\r\n", "silence", Outcome.ERROR, 0),
+        (b"HTTP/1.1 200 OK\r\n" + b"a: b\r\n" * 500, "silence", Outcome.ERROR, 0),
+        (b"HTTP/1.1 100 Continue\r\n\r\n" + GOOD, "keep", Outcome.FINISHED, 4),
+        (whole(500, b"oops"), "keep", Outcome.ERROR, 0),
+        (whole(503, b"", b"Retry-After: 1\r\n"), "keep", Outcome.FULL, 0),
+        (whole(410, b'{"error":{"code":"kv_state_gone"}}'), "keep", Outcome.FULL, 1),
+        (whole(410, b"[]"), "keep", Outcome.ERROR, 0),
     ],
 )
-def test_one_verdict_for_every_end(says: bytes, then: str, verdict: Verdict, detail: int) -> None:
+def test_one_verdict_for_every_end(says: bytes, then: str, verdict: Outcome, detail: int) -> None:
     seen = play(says, then)
     assert (seen.verdict, seen.detail) == (verdict, detail)
-    if verdict is Verdict.FINISHED:
+    if verdict is Outcome.FINISHED:
         assert seen.events == ["first", " a", " a"] and seen.load == {"memory": 0.5, "queue": 3.0}
 
 
 @pytest.mark.parametrize(
     "says, verdict, detail",
     [
-        (whole(200, READ, LOAD), Verdict.READ, 7),
-        (whole(200, b"{}"), Verdict.ERROR, 0),
-        (whole(200, b"[1"), Verdict.ERROR, 0),
-        (whole(503, b""), Verdict.FULL, 0),
+        (whole(200, READ, LOAD), Outcome.PREFILLED, 7),
+        (whole(200, b"{}"), Outcome.ERROR, 0),
+        (whole(200, b"[1"), Outcome.ERROR, 0),
+        (whole(503, b""), Outcome.FULL, 0),
     ],
 )
-def test_reads(says: bytes, verdict: Verdict, detail: int) -> None:
-    seen = play(says, "keep", Role.READER)
+def test_reads(says: bytes, verdict: Outcome, detail: int) -> None:
+    seen = play(says, "keep", Role.PREFILL)
     assert (seen.verdict, seen.detail) == (verdict, detail)
-    assert verdict is not Verdict.READ or seen.load == {"memory": 0.5, "queue": 3.0}
+    assert verdict is not Outcome.PREFILLED or seen.load == {"memory": 0.5, "queue": 3.0}
 
 
 def test_a_cancel_closes_the_connection_and_ends_it_once() -> None:
     seen = play(HEAD + chunked(TOKEN)[:-5], "silence", timeout=5.0, cancel=True)
-    assert seen.verdict is Verdict.CANCELLED
+    assert seen.verdict is Outcome.CANCELLED
 
 
 def test_connections_are_kept_and_bounded() -> None:
     async def run() -> None:
         engine, the_link = Scripted(GOOD, "keep"), link(connections=1)
         server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
-        endpoint = Endpoint(1, "e", Role.WRITER, "127.0.0.1", server.sockets[0].getsockname()[1])
+        endpoint = Endpoint(1, "e", Role.DECODE, "127.0.0.1", server.sockets[0].getsockname()[1])
         for _ in range(3):
             seen = Seen()
             the_link.send(endpoint, "c.0", {}, None, "m", 5.0, seen)
@@ -212,7 +212,7 @@
         await first.begun.wait()
         the_link.send(endpoint, "c.1", {}, None, "", 5.0, second)
         await second.over.wait()
-        assert second.verdict is Verdict.CROWDED and len(engine.heads) == 4
+        assert second.verdict is Outcome.NO_FREE_CONNECTION and len(engine.heads) == 4
         call.cancel()
         server.close()
 
@@ -223,7 +223,7 @@
     async def run() -> None:
         engine, the_link = Scripted(GOOD, "close"), link()
         server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
-        endpoint = Endpoint(1, "e", Role.WRITER, "127.0.0.1", server.sockets[0].getsockname()[1])
+        endpoint = Endpoint(1, "e", Role.DECODE, "127.0.0.1", server.sockets[0].getsockname()[1])
         for _ in range(3):
             seen = Seen()
             the_link.send(endpoint, "c.0", {}, None, "", 5.0, seen)
@@ -232,7 +232,7 @@
             pool = the_link.pool(endpoint)
             while pool.idle:  # until the close is seen here too
                 await asyncio.sleep(0)
-            assert seen.verdict is Verdict.FINISHED and pool.open == 0
+            assert seen.verdict is Outcome.FINISHED and pool.open == 0
         server.close()
 
     asyncio.run(run())
@@ -253,7 +253,7 @@
 @pytest.mark.parametrize(
     "effect, final, repeated",
     [
-        (Effect.TOKENED, "rate-limited", False),
+        (Effect.IDEMPOTENCY_KEYED, "rate-limited", False),
         (Effect.NON_IDEMPOTENT, "aborted: given up", False),
         (Effect.IDEMPOTENT, "rate-limited", True),
     ],
@@ -275,7 +275,7 @@
             the_link,
             "f",
             1,
-            [Kind(Role.MIXED, 0)],
+            [EngineKind(Role.COMBINED, 0)],
             [Workload(0.1, 0.0, 0.05, effect, Group.ALL, 2.0, 1.0)],
             0,
             1,
@@ -292,7 +292,7 @@
             stream_limit=5.0,
         )
         endpoints = [
-            Endpoint(n, f"e{n}", Role.MIXED, "127.0.0.1", server.sockets[0].getsockname()[1])
+            Endpoint(n, f"e{n}", Role.COMBINED, "127.0.0.1", server.sockets[0].getsockname()[1])
             for n, server in enumerate(servers, 1)
         ]
         core.list_changed(True, [(endpoint, 0, 0, 0, Health.ON, 1.0, 0.0) for endpoint in endpoints])
@@ -313,7 +313,7 @@
 @pytest.mark.parametrize("rate", [1_000_000, 2_000_000])
 def test_a_long_prompt_goes_on_over_a_slow_link(rate: int) -> None:
     """Guards against slow taken for cut, here as at the platform's link."""
-    size, step, verdicts = 250_000, 0.01, list[Verdict]()
+    size, step, verdicts = 250_000, 0.01, list[Outcome]()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         got = b""
@@ -328,7 +328,7 @@
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
         server = await asyncio.start_server(serve, sock=sock, limit=16_384)
         the_link, seen = link(), Seen()
-        endpoint = Endpoint(1, "e", Role.READER, "127.0.0.1", sock.getsockname()[1])
+        endpoint = Endpoint(1, "e", Role.PREFILL, "127.0.0.1", sock.getsockname()[1])
         call = the_link.send(endpoint, "c.0", {"prompt": size * "x"}, None, "", 4.0, seen)
         while not seen.over.is_set():
             if the_link.pool(endpoint).open:
@@ -340,4 +340,4 @@
         verdicts.append(seen.verdict)
 
     asyncio.run(run())
-    assert verdicts == [Verdict.READ]
+    assert verdicts == [Outcome.PREFILLED]
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -90,7 +90,8 @@
 
 
 @pytest.mark.parametrize(
-    "effect, runs_again", [(Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)]
+    "effect, runs_again",
+    [(Effect.IDEMPOTENT, True), (Effect.IDEMPOTENCY_KEYED, False), (Effect.NON_IDEMPOTENT, False)],
 )
 def test_a_repeat_of_one_that_was_out_when_its_front_was_killed(
     tmp_path: Path, effect: Effect, runs_again: bool
@@ -206,4 +207,4 @@
     shared = Shared()
     shared.tokens("x" * (kept.LONGEST + 1))
     shared.finished("stop", {})
-    assert kept.restored(kept.ended(b"d", Effect.TOKENED, shared))[2].told["why"] == kept.TOO_LONG
+    assert kept.restored(kept.ended(b"d", Effect.IDEMPOTENCY_KEYED, shared))[2].told["why"] == kept.TOO_LONG
--- a/tests/test_module_play.py
+++ b/tests/test_module_play.py
@@ -14,17 +14,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heathford.interface import NEVER_RAN, Effect, Group, Health, Kind, Role, Verdict, Workload
-from heathford.policy import Completion, Router
+from heathford.interface import NEVER_RAN, Effect, Group, Health, EngineKind, Role, Outcome, Workload
+from heathford.policy import RequestState, Router
 
 DAY = 12.0  # s in which completions arrive
-FAILURES = (Verdict.ERROR, Verdict.BROKEN, Verdict.UNREACHABLE, Verdict.FULL, Verdict.UNSENT)
+FAILURES = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNREACHABLE, Outcome.FULL, Outcome.UNSENT)
 
 
 class Dispatched:
     def __init__(self, engine: int, role: Role, place: tuple[int, int], sent: float) -> None:
         self.engine, self.role, self.place, self.sent = engine, role, place, sent
-        self.verdict: Verdict | None = None
+        self.verdict: Outcome | None = None
         self.streaming = False
 
 
@@ -36,18 +36,18 @@
         self.dispatches: list[Dispatched] = []
         self.final = ""
         self.held_since: float | None = None  # a state waits at a reader, and nothing is out for it
-        self.handle: Completion | None = None
+        self.handle: RequestState | None = None
 
     @property
     def risky(self) -> list[Dispatched]:
-        return [d for d in self.dispatches if d.role is not Role.READER and d.verdict not in NEVER_RAN]
+        return [d for d in self.dispatches if d.role is not Role.PREFILL and d.verdict not in NEVER_RAN]
 
     def close(self, how: str) -> None:
         assert not self.final, f"{how} after {self.final}"
         assert self.world.now <= self.due + 1e-6, f"{how} {self.world.now - self.due} s late"
         self.final = how
 
-    # heathford.interface.CompletionDoor
+    # heathford.interface.RequestActions
 
     def send(self, engine: int, timeout: float) -> None:
         world, now = self.world, self.world.now
@@ -58,23 +58,25 @@
         assert len(self.dispatches) < world.try_limit
         effect, group, risky = self.workload.effect, self.workload.group, self.risky
         assert not risky or effect is not Effect.NON_IDEMPOTENT, "an effect may come twice"
-        if risky and effect is Effect.TOKENED and role is not Role.READER:
+        if risky and effect is Effect.IDEMPOTENCY_KEYED and role is not Role.PREFILL:
             same = [
                 group is Group.ALL or d.place == place or (group is Group.ZONE and d.place[0] == place[0])
                 for d in risky
             ]
-            assert all(same) and now - risky[0].sent < self.workload.memory_time
+            assert all(same) and now - risky[0].sent < self.workload.key_ttl
         world.sends.append((now, engine))
         self.held_since = None
         self.dispatches.append(Dispatched(engine, role, place, now))
         world.play_out(self, len(self.dispatches) - 1, timeout)
 
     def cancel(self, seq: int) -> None:
-        self.world.after(0.0, lambda: self.end(seq, Verdict.CANCELLED))
+        self.world.after(0.0, lambda: self.end(seq, Outcome.CANCELLED))
 
     def rate_limit(self, retry_after: float) -> None:
         effect = self.workload.effect
-        known = effect is Effect.IDEMPOTENT or (effect is Effect.TOKENED and self.workload.group is Group.ALL)
+        known = effect is Effect.IDEMPOTENT or (
+            effect is Effect.IDEMPOTENCY_KEYED and self.workload.group is Group.ALL
+        )
         assert known or not self.risky, "a repeat may do harm"
         assert 0.0 <= retry_after <= self.world.longest_retry
         assert all(d.verdict for d in self.dispatches)
@@ -99,14 +101,14 @@
         self.due = 1e9  # its client has a stream now: the client timeout stops
         self.world.decide()
 
-    def end(self, seq: int, verdict: Verdict, detail: int = 0) -> None:
+    def end(self, seq: int, verdict: Outcome, detail: int = 0) -> None:
         dispatch, world = self.dispatches[seq], self.world
         if dispatch.verdict:
             return
         dispatch.verdict = verdict
-        if verdict is Verdict.READ:
+        if verdict is Outcome.PREFILLED:
             self.held_since = world.now
-        if not self.final and verdict is Verdict.FINISHED:
+        if not self.final and verdict is Outcome.FINISHED:
             self.close("finished")
         elif not self.final and dispatch.streaming:
             self.close("aborted")
@@ -118,7 +120,7 @@
         if not self.final:
             self.close("left")
             assert self.handle
-            self.handle.left()
+            self.handle.client_left()
             self.world.decide()
 
 
@@ -126,7 +128,7 @@
     def __init__(
         self,
         seed: int,
-        kinds: list[Kind],
+        kinds: list[EngineKind],
         workloads: list[Workload],
         zones: int,
         engines: int,
@@ -161,7 +163,7 @@
             [(next(self.count), self.random.randrange(len(kinds)), Health.ON, 0.0) for _ in range(engines)]
         )
 
-    # heathford.interface.InstanceDoor
+    # heathford.interface.RouterActions
 
     def wake(self, after: float) -> None:
         self.after(after, self.decide)
@@ -193,7 +195,7 @@
             call()
         for asked in self.all:
             assert asked.final and all(d.verdict for d in asked.dispatches) and asked.held_since is None
-        assert not self.router.waiting and not any(e.out for e in self.router.engines.values())
+        assert not self.router.waiting and not any(e.in_flight for e in self.router.engines.values())
         self.check_cold()
 
     def check_cold(self) -> None:
@@ -212,14 +214,14 @@
     # What happens.
 
     def change(self, rows: list[tuple[int, int, Health, float]]) -> None:
-        self.router.list_begins(False)
+        self.router.begin_list_update(False)
         for number, kind, health, started in rows:
             place = number % self.zones, number % (2 * self.zones)
             self.engines[number] = self.kinds[kind].role, health, place
             if started:
                 self.began[number] = started
-            self.router.list_row(number, place[0], kind, place[1], health, 1.0, started)
-        self.router.list_ends()
+            self.router.update_engine(number, place[0], kind, place[1], health, 1.0, started)
+        self.router.end_list_update()
 
     def replace(self) -> None:
         """One drains or goes; another comes, cold."""
@@ -228,7 +230,7 @@
         if on:
             old = self.random.choice(on)
             kind = next(k for k, known in enumerate(self.kinds) if known.role is self.engines[old][0])
-            health = self.random.choice((Health.DRAINING, Health.GONE))
+            health = self.random.choice((Health.DRAINING, Health.REMOVED))
             rows.append((old, kind, health, self.began.get(old, 0.0)))
         self.change(rows)
         self.decide()
@@ -241,7 +243,7 @@
         self.all.append(asked)
         prompt = self.random.choice((0, 1, 700, 6000, 60_000))
         shared = self.random.choice(("", "a", "b"))
-        asked.handle = self.router.take(
+        asked.handle = self.router.accept(
             asked,
             place,
             0,
@@ -262,18 +264,18 @@
         dispatch, draw = asked.dispatches[seq], self.random.random()
         takes = self.random.choice((0.001, 0.1, 0.5, 1.2)) * timeout
         if draw < 0.2 * self.trouble or takes >= timeout:
-            ends = timeout, Verdict.TIMED_OUT
+            ends = timeout, Outcome.TIMED_OUT
         elif draw < 0.5 * self.trouble:
             ends = takes, self.random.choice(FAILURES)
-        elif dispatch.role is Role.READER:
+        elif dispatch.role is Role.PREFILL:
             self.answered.append(self.now + takes)
-            ends = takes, Verdict.READ
+            ends = takes, Outcome.PREFILLED
         else:
             self.answered.append(self.now + takes)
             self.after(takes, lambda: asked.first_token(seq))
             whole = self.random.random() >= 0.1 * self.trouble
-            ends = takes + self.random.uniform(0.0, 2.0), Verdict.FINISHED if whole else Verdict.BROKEN
-        detail = int(ends[1] is Verdict.FULL and self.random.random() < 0.3)
+            ends = takes + self.random.uniform(0.0, 2.0), Outcome.FINISHED if whole else Outcome.BROKEN
+        detail = int(ends[1] is Outcome.FULL and self.random.random() < 0.3)
         self.after(ends[0], lambda: asked.end(seq, ends[1], detail))
 
 
@@ -289,7 +291,7 @@
     st.sampled_from(Group),
 )
 kinds = st.lists(
-    st.builds(Kind, st.sampled_from(Role), st.sampled_from([0, 9_000, 150_000, 1_200_000])),
+    st.builds(EngineKind, st.sampled_from(Role), st.sampled_from([0, 9_000, 150_000, 1_200_000])),
     min_size=1,
     max_size=4,
 )
@@ -323,13 +325,13 @@
 
 def test_the_world_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
     """The checks above are able to fail: with a guard of the module taken out, some play breaks."""
-    monkeypatch.setattr(Completion, "may_go_to", lambda self, engine, now: True)
+    monkeypatch.setattr(RequestState, "may_go_to", lambda self, engine, now: True)
     once = Workload(5.0, 0.0, 0.05, Effect.NON_IDEMPOTENT, Group.ALL, 2.0, 1.0)
     with pytest.raises(AssertionError, match="an effect may come twice"):
         for seed in range(20):
             World(
                 seed,
-                [Kind(Role.MIXED, 0)],
+                [EngineKind(Role.COMBINED, 0)],
                 [once],
                 1,
                 5,
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -517,7 +517,7 @@
     watch = DiscoveryClient(
         host,
         int(port),
-        Instances({"m1": (0, Role.WRITER)}, ["a", "b"]),
+        Instances({"m1": (0, Role.DECODE)}, ["a", "b"]),
         lambda change: heard.extend(row[4] for row in change.rows),
     )
     watch.start()
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from heathford.interface import Verdict
+from heathford.interface import Outcome
 from heathford.platform.answers import Answer
 from heathford.standin.platform import EVENTS, GOOD, READ, STREAM, WORDS, chunk, whole
 from heathford.wire.http1 import NonsenseError
@@ -30,9 +30,9 @@
 @pytest.mark.parametrize(
     "said, reading, passed, verdict",
     [
-        (UNTIL_CLOSE + ALL, False, ALL, (Verdict.FINISHED, 4)),
+        (UNTIL_CLOSE + ALL, False, ALL, (Outcome.FINISHED, 4)),
         (UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
-        (READ_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Verdict.READ, 4)),
+        (READ_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Outcome.PREFILLED, 4)),
         (READ_UNTIL_CLOSE + b'{"cached_tok', True, b"", "nonsense"),
         (READ_UNTIL_CLOSE + b"x" * 300_000, True, b"", "nonsense"),
     ],
@@ -73,28 +73,28 @@
 @pytest.mark.parametrize(
     "said, reading, passed, verdict",
     [
-        (GOOD, False, ALL, (Verdict.FINISHED, 4)),
-        (READ, True, b"", (Verdict.READ, 4)),
-        (whole(202, b'{"cached_tokens":-3}'), True, b"", (Verdict.READ, 0)),
+        (GOOD, False, ALL, (Outcome.FINISHED, 4)),
+        (READ, True, b"", (Outcome.PREFILLED, 4)),
+        (whole(202, b'{"cached_tokens":-3}'), True, b"", (Outcome.PREFILLED, 0)),
         (whole(202, b"{"), True, b"", "nonsense"),
-        (WORDS["error"], False, b"", (Verdict.ERROR, 0)),
-        (WORDS["full"], True, b"", (Verdict.FULL, 0)),
-        (WORDS["expired"], False, b"", (Verdict.FULL, 0)),
-        (WORDS["busy"], False, b"", (Verdict.ERROR, 0)),
-        (WORDS["gone"], False, b"", (Verdict.FULL, 1)),
-        (whole(410), False, b"", (Verdict.ERROR, 0)),
-        (whole(200, b"{}"), True, b"", (Verdict.ERROR, 0)),
-        (whole(202, b"{}"), False, b"", (Verdict.ERROR, 0)),
-        (whole(404), False, b"", (Verdict.ERROR, 0)),
-        (b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + GOOD, False, ALL, (Verdict.FINISHED, 4)),
+        (WORDS["error"], False, b"", (Outcome.ERROR, 0)),
+        (WORDS["full"], True, b"", (Outcome.FULL, 0)),
+        (WORDS["expired"], False, b"", (Outcome.FULL, 0)),
+        (WORDS["busy"], False, b"", (Outcome.ERROR, 0)),
+        (WORDS["gone"], False, b"", (Outcome.FULL, 1)),
+        (whole(410), False, b"", (Outcome.ERROR, 0)),
+        (whole(200, b"{}"), True, b"", (Outcome.ERROR, 0)),
+        (whole(202, b"{}"), False, b"", (Outcome.ERROR, 0)),
+        (whole(404), False, b"", (Outcome.ERROR, 0)),
+        (b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + GOOD, False, ALL, (Outcome.FINISHED, 4)),
         (
             GOOD.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff;=\r\n\r\n", 1),
             False,
             ALL,
-            (Verdict.FINISHED, 4),
+            (Outcome.FINISHED, 4),
         ),
         (WORDS["begin"], False, EVENTS[0], None),
-        (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Verdict.FINISHED, 4)),
+        (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Outcome.FINISHED, 4)),
         # Spoilt before the first event, after which another dispatch may go out, and later.
         (b"\x00\x01\x02noise", False, b"", "nonsense"),
         (b"HTTP/1.1 2x0 OK\r\n\r\n", False, b"", "nonsense"),
@@ -121,7 +121,7 @@
 def test_a_second_answer_behind_the_first_ends_the_connections_use() -> None:
     answer = Answer(reading=False)
     assert answer.feed(GOOD + GOOD) == ALL
-    assert answer.verdict() == (Verdict.FINISHED, 4) and not answer.keep
+    assert answer.verdict() == (Outcome.FINISHED, 4) and not answer.keep
     clean = Answer(reading=False)
     clean.feed(GOOD)
     assert clean.keep
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -8,7 +8,7 @@
 from test_platform import ALL, Client, Node, asked, play, reader, writer
 
 from heathford.child_signals import send_signal
-from heathford.interface import HELD_UP
+from heathford.interface import STALL_ALLOWANCE
 from heathford.platform.client_server import FIRST, SWEEP, WRITES
 
 GONE = 0.1  # s after a client has gone from which no attempt may begin
@@ -221,4 +221,4 @@
 
 
 def test_half_a_request_is_told_within_three_seconds_also_where_the_loop_is_held_up() -> None:
-    assert max(WRITES, FIRST) + SWEEP + HELD_UP < 3.0
+    assert max(WRITES, FIRST) + SWEEP + STALL_ALLOWANCE < 3.0
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -11,7 +11,7 @@
 from conftest import ReleaseHeard
 
 from heathford.core.doors import Endpoint
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.platform.engine_call import EngineCall
 from heathford.platform.link import PlatformLink
 from heathford.platform.release_schedule import next_to_ask
@@ -25,7 +25,7 @@
 
     def __init__(self, look: Callable[[], Any]) -> None:
         self.look = look
-        self.ends: list[tuple[Verdict, Any]] = []
+        self.ends: list[tuple[Outcome, Any]] = []
 
     def wanted(self) -> bool:
         return True
@@ -37,7 +37,7 @@
     def tokens(self, part: Any) -> None: ...
 
     def ended(
-        self, verdict: Verdict, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
         self.ends.append((verdict, self.look()))
 
@@ -57,7 +57,7 @@
         return held
 
     def endpoint(self) -> Endpoint:
-        return Endpoint(1, "e", Role.WRITER, *self.listener.getsockname())
+        return Endpoint(1, "e", Role.DECODE, *self.listener.getsockname())
 
     def close(self) -> None:
         for held in (self.listener, *self.held):
@@ -109,7 +109,7 @@
         if how == "cancelled":
             call.cancel()
         await until(lambda: bool(heard.ends))
-        assert heard.ends == [(Verdict(how), True)]
+        assert heard.ends == [(Outcome(how), True)]
 
     asyncio.run(day())
 
@@ -134,7 +134,7 @@
                 except ConnectionError:
                     part = b""
                 got, ended = got + len(part), not part
-        assert heard.ends == [(Verdict.FULL, None)] and got < len(LARGE) and link.pools.open == 0
+        assert heard.ends == [(Outcome.FULL, None)] and got < len(LARGE) and link.pools.open == 0
 
     asyncio.run(day())
 
@@ -192,7 +192,7 @@
         await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
         assert held.recv(65_536).startswith(b"DELETE ")
         call.withdraw()
-        assert heard.ends == [(Verdict.UNSENT, None)]
+        assert heard.ends == [(Outcome.UNSENT, None)]
         held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
         await asyncio.sleep(0.1)
         assert not select.select([held, engine.listener], [], [], 0.0)[0] and len(heard.ends) == 1
@@ -215,7 +215,7 @@
             held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         held.close()
         await until(lambda: bool(heard.ends))
-        assert heard.ends == [(Verdict.BROKEN if reset else Verdict.FULL, None)] and link.pools.open == 0
+        assert heard.ends == [(Outcome.BROKEN if reset else Outcome.FULL, None)] and link.pools.open == 0
 
     asyncio.run(day())
 
@@ -255,7 +255,7 @@
     asyncio.run(day())
 
 
-E = [Endpoint(n, f"e{n}", Role.READER, "127.0.0.1", n) for n in range(6)]
+E = [Endpoint(n, f"e{n}", Role.PREFILL, "127.0.0.1", n) for n in range(6)]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -8,14 +8,18 @@
 import pytest
 from conftest import KINDS, Bench
 
-from heathford.interface import NEVER_RAN, Effect, Group, Health, Kind, Role, Verdict, Workload
+from heathford.interface import NEVER_RAN, Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import Router
 from heathford.policy.engine_state import REST_MOST, Engine
 from heathford.policy.estimators import Fit, mixed_features, read_features
 
 New = Callable[..., Bench]
 FLEET = ((10, 0), (11, 0), (12, 1), (13, 1), (14, 2))
-IDEMPOTENT, TOKENED, NON_IDEMPOTENT = Effect.IDEMPOTENT, Effect.TOKENED, Effect.NON_IDEMPOTENT
+IDEMPOTENT, IDEMPOTENCY_KEYED, NON_IDEMPOTENT = (
+    Effect.IDEMPOTENT,
+    Effect.IDEMPOTENCY_KEYED,
+    Effect.NON_IDEMPOTENT,
+)
 
 
 @pytest.mark.parametrize("slopes", [(0.02, 0.05), (0.0, 0.1), (0.3, 0.0)])
@@ -55,8 +59,8 @@
     b.engines(*FLEET)
     for i in range(60):
         tokens = 100 + 100 * (i % 30)
-        b.router.read_fit.add(read_features(tokens), 0.1 + read_slope * tokens / 1000, b.now)
-        b.router.mixed_fit.add(mixed_features(tokens, 0), 0.05 + mixed_slope * tokens / 1000, b.now - idle)
+        b.router.prefill_fit.add(read_features(tokens), 0.1 + read_slope * tokens / 1000, b.now)
+        b.router.combined_fit.add(mixed_features(tokens, 0), 0.05 + mixed_slope * tokens / 1000, b.now - idle)
     b.take(3000)
     [(_, engine)] = b.asked()
     assert (engine in (10, 11)) == reader
@@ -68,7 +72,7 @@
     first = b.take(1900)
     [(_, engine)] = b.asked()
     b.first(first)
-    b.end(first, Verdict.FINISHED, closed=True)
+    b.end(first, Outcome.FINISHED, closed=True)
     b.take(3500)  # 1,600 of them new
     assert b.asked() == [("send", engine)]
 
@@ -77,7 +81,7 @@
     b = bench()
     b.engines(*FLEET)
     first = b.take(1500)
-    b.end(first, Verdict.FULL, memory=0.99)
+    b.end(first, Outcome.FULL, memory=0.99)
     assert next(e for _, e in b.asked()) == 14
     for _ in range(3):
         b.take(1500)
@@ -89,23 +93,23 @@
 @pytest.mark.parametrize(
     "verdict, detail, effect, group, then",
     [
-        (Verdict.FULL, 0, NON_IDEMPOTENT, Group.ALL, "send"),
-        (Verdict.FULL, 1, NON_IDEMPOTENT, Group.ALL, "send"),
-        (Verdict.UNREACHABLE, 0, NON_IDEMPOTENT, Group.ALL, "send"),
-        (Verdict.TIMED_OUT, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-        (Verdict.ERROR, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-        (Verdict.BROKEN, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
-        (Verdict.BROKEN, 0, IDEMPOTENT, Group.ALL, "send"),
-        (Verdict.ERROR, 0, TOKENED, Group.CELL, "send"),
+        (Outcome.FULL, 0, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Outcome.FULL, 1, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Outcome.UNREACHABLE, 0, NON_IDEMPOTENT, Group.ALL, "send"),
+        (Outcome.TIMED_OUT, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Outcome.ERROR, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Outcome.BROKEN, 0, NON_IDEMPOTENT, Group.ALL, "abort"),
+        (Outcome.BROKEN, 0, IDEMPOTENT, Group.ALL, "send"),
+        (Outcome.ERROR, 0, IDEMPOTENCY_KEYED, Group.CELL, "send"),
     ],
 )
 def test_next_step_after_a_write_failed(
-    bench: New, verdict: Verdict, detail: int, effect: Effect, group: Group, then: str
+    bench: New, verdict: Outcome, detail: int, effect: Effect, group: Group, then: str
 ) -> None:
     b = bench(effect=effect, group=group)
     b.engines(*FLEET)
     c = b.take()
-    b.end(c, Verdict.READ)
+    b.end(c, Outcome.PREFILLED)
     b.asked()
     b.end(c, verdict, detail=detail)
     asked = b.asked()
@@ -127,14 +131,14 @@
 def test_tokened_repeats_stay_in_their_group_and_time(
     bench: New, group: Group, elsewhere: int, later: float, stays: bool
 ) -> None:
-    b = bench(effect=TOKENED, group=group)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=group)
     b.engines((10, 0), (12, 1))
     c = b.take()
-    b.end(c, Verdict.READ)
+    b.end(c, Outcome.PREFILLED)
     b.engines((12, 1), health=Health.DRAINING)
     b.engines((elsewhere, 1))
     b.asked()
-    b.end(c, Verdict.ERROR, after=later)
+    b.end(c, Outcome.ERROR, after=later)
     assert (("send", elsewhere) not in b.asked()) == stays
 
 
@@ -151,14 +155,14 @@
 def test_nothing_stays_pinned(bench: New, how: str, limit: float, limited: bool) -> None:
     b = bench(pin_limit=limit, cold_from=0.0)
     b.engines((10, 0), (12, 1))
-    c = b.take(due=b.now + (0.2 if how == "out of time" else 5.0))
+    c = b.take(deadline=b.now + (0.2 if how == "out of time" else 5.0))
     if how == "no writer":
         b.engines((12, 1), health=Health.DRAINING)
     else:
         b.engines((12, 1), started=b.now)  # cold, and it may get nothing
-    b.end(c, Verdict.READ)
+    b.end(c, Outcome.PREFILLED)
     if how == "client leaves":
-        c.left()
+        c.client_left()
     b.wait(limit - 0.02)
     asked = b.asked()
     assert ("release",) in asked and (("rate_limit",) in asked) == limited
@@ -174,9 +178,9 @@
     """Seen on sockets: silent engines, each waited for half of a client timeout of five targets."""
     b = bench(effect=effect)
     b.engines(*FLEET)
-    c = b.take(due=b.now + left)
+    c = b.take(deadline=b.now + left)
     assert b.patience == pytest.approx(read)
-    b.end(c, Verdict.READ)
+    b.end(c, Outcome.PREFILLED)
     assert b.patience == pytest.approx(write)
 
 
@@ -188,29 +192,29 @@
 
     def answered(count: int) -> None:
         for n in range(count):
-            c = b.take(session=f"{n}", due=b.now + 20.0)
-            b.end(c, Verdict.READ, after=0.01)
+            c = b.take(session=f"{n}", deadline=b.now + 20.0)
+            b.end(c, Outcome.PREFILLED, after=0.01)
             b.first(c, after=0.01)
-            b.end(c, Verdict.FINISHED, after=0.01, closed=True)
+            b.end(c, Outcome.FINISHED, after=0.01, closed=True)
 
     answered(10)
     waits = []
     for n in range(5):
-        c = b.take(session=f"x{n}", due=b.now + 20.0)
+        c = b.take(session=f"x{n}", deadline=b.now + 20.0)
         for _ in range(3):
-            b.end(c, Verdict.TIMED_OUT, after=0.01)
+            b.end(c, Outcome.TIMED_OUT, after=0.01)
             waits.append(b.patience)
-        c.left()
-        b.end(c, Verdict.CANCELLED, after=0.01, closed=True)
+        c.client_left()
+        b.end(c, Outcome.CANCELLED, after=0.01, closed=True)
     assert waits == sorted(waits) and waits[0] == pytest.approx(2.4, abs=0.2) and waits[-1] > 4.0
     answered(80)
-    b.take(session="y", due=b.now + 20.0)
+    b.take(session="y", deadline=b.now + 20.0)
     assert b.patience == pytest.approx(2.4, abs=0.2)
 
 
-@pytest.mark.parametrize("verdict, rests", [(Verdict.TIMED_OUT, True), (Verdict.ERROR, False)])
+@pytest.mark.parametrize("verdict, rests", [(Outcome.TIMED_OUT, True), (Outcome.ERROR, False)])
 def test_a_reader_that_did_not_answer_in_time_rests_as_a_slow_one_does(
-    bench: New, verdict: Verdict, rests: bool
+    bench: New, verdict: Outcome, rests: bool
 ) -> None:
     """A slow answer rested its reader, and none at all did not: one alone is no failure."""
     b = bench()
@@ -218,9 +222,9 @@
     c = b.take(session="s", shared="a")
     [(_, slow)] = b.asked()
     b.end(c, verdict, after=1.0)
-    until, _ = b.router.engines[slow].rests.get(None, (b.now, 0.0))
+    until, _ = b.router.engines[slow].cooldowns.get(None, (b.now, 0.0))
     assert until - b.now == pytest.approx(1.0 if rests else 0.0)
-    b.end(c, Verdict.READ, after=0.1)
+    b.end(c, Outcome.PREFILLED, after=0.1)
     b.asked()
     b.take(session="t", shared="a")
     assert rests <= (b.asked() != [("send", slow)])
@@ -234,19 +238,19 @@
     b = bench()
     b.engines((10, 0), *((n, 1) for n in range(12, 18)))
     c = b.take()
-    b.end(c, Verdict.READ)
+    b.end(c, Outcome.PREFILLED)
     for _ in range(2):
         if c.state:
-            b.end(c, Verdict.UNREACHABLE, after=each)
+            b.end(c, Outcome.UNREACHABLE, after=each)
     asked = b.asked()
     assert sum(a[0] == "send" and a[1] != 10 for a in asked) == sends
     assert (("release",) in asked) == (sends == 1)
 
 
-@pytest.mark.parametrize("effect", [IDEMPOTENT, TOKENED, NON_IDEMPOTENT])
+@pytest.mark.parametrize("effect", [IDEMPOTENT, IDEMPOTENCY_KEYED, NON_IDEMPOTENT])
 def test_one_final_answer_in_time_when_no_engine_is_usable(bench: New, effect: Effect) -> None:
     b = bench(effect=effect)
-    b.take(due=b.now + 1.0)
+    b.take(deadline=b.now + 1.0)
     b.wait(0.98)
     assert b.asked() == [("rate_limit",)]
     b.wait(1.0)
@@ -257,8 +261,8 @@
     b = bench()
     b.engines((10, 0), (11, 0))
     b.engines((10, 0), health=Health.DRAINING)
-    b.router.list_begins(complete=True)
-    b.router.list_ends()
+    b.router.begin_list_update(complete=True)
+    b.router.end_list_update()
     b.take()
     assert b.asked() == [("rate_limit",)]
 
@@ -268,15 +272,15 @@
     b.engines((10, 0), (12, 1), (13, 1), (14, 1))
     b.router.good, b.router.counted_at = 100.0, b.now  # no jam
     failed = b.take()
-    b.end(failed, Verdict.UNREACHABLE, after=0.01)
+    b.end(failed, Outcome.UNREACHABLE, after=0.01)
     assert b.asked() == [("send", 10)]
     b.wait(0.6)
     taken = [failed] + [b.take(session=str(i)) for i in range(6)]
     assert b.asked() == [("send", 10)]
     trickles = []
     for _ in range(3):
-        for c in [c for c in taken if c.out and c.out.reading]:
-            b.end(c, Verdict.READ, after=0.01)
+        for c in [c for c in taken if c.current_attempt and c.current_attempt.is_prefill]:
+            b.end(c, Outcome.PREFILLED, after=0.01)
         trickles.append(b.router.engines[10].trickle)
         b.wait(0.06)
     assert trickles == [2, 4, 6]  # two at once by the gate
@@ -288,7 +292,7 @@
     for _ in range(2000):
         b.now += 1.0
         b.router.engines[10].went_badly(1.0, b.now, b.now)
-    assert b.now < b.router.engines[10].rests[None][0] < b.now + 10.0
+    assert b.now < b.router.engines[10].cooldowns[None][0] < b.now + 10.0
 
 
 def test_a_slow_engine_rests_longer_each_time_and_less_after_good_answers(bench: New) -> None:
@@ -296,11 +300,11 @@
     b.engines((10, 0), (12, 1))
     engine, rests = b.router.engines[10], []
     for latency in (0.9, 0.9, 0.9, 0.1, 0.1):
-        b.now = max(b.now, engine.rests.get(None, (0.0, 0.0))[0]) + 0.01
+        b.now = max(b.now, engine.cooldowns.get(None, (0.0, 0.0))[0]) + 0.01
         c = b.take()
-        b.end(c, Verdict.READ, after=latency)
+        b.end(c, Outcome.PREFILLED, after=latency)
         b.first(c)
-        rests.append(engine.rests[None][1])
+        rests.append(engine.cooldowns[None][1])
     assert rests == pytest.approx([0.9, 1.8, 3.6, 1.8, 0.9])
 
 
@@ -310,7 +314,7 @@
     engine = b.router.engines[10]
     for sent in (b.now, b.now + 0.1, b.now + 0.2):
         engine.rest(None, sent, b.now + 1.0)
-    assert engine.rests[None] == (b.now + 1.25, 0.25)
+    assert engine.cooldowns[None] == (b.now + 1.25, 0.25)
 
 
 @pytest.mark.parametrize("asked, good, let_in", [(0.0, 0.0, 40), (20.0, 12.0, 40), (40.0, 4.0, 12)])
@@ -333,9 +337,9 @@
 ) -> None:
     b = bench()
     b.engines((10, 0), (12, 1))
-    b.end(b.take(member=0), Verdict.FULL, after=latency)
+    b.end(b.take(tenant=0), Outcome.FULL, after=latency)
     b.asked()
-    b.take(member=1)
+    b.take(tenant=1)
     assert [a[0] for a in b.asked()] == ([others] if others else [])
 
 
@@ -347,9 +351,9 @@
         b.engines(*((n, 0) for n in range(10, 30)), (30, 1))
         for i in range(30):
             c = b.take(session=f"s{i}", shared="text")
-            b.end(c, Verdict.READ, after=0.01)
+            b.end(c, Outcome.PREFILLED, after=0.01)
             b.first(c, after=0.01)
-            b.end(c, Verdict.FINISHED, closed=True)
+            b.end(c, Outcome.FINISHED, closed=True)
         seen.append([a[1] for a in b.asked() if a[0] == "send" and a[1] < 30])
     assert seen[0] == seen[1] == seen[2] and len(set(seen[0])) == 1
 
@@ -392,7 +396,7 @@
         b.engines((20, 0), started=start)
         engine = b.router.engines[20]
         c = b.take()
-        b.router.slow_start.recent.extend(texts_for_each(b.router, Role.READER))
+        b.router.slow_start.recent.extend(texts_for_each(b.router, Role.PREFILL))
         engine.trickle = 0
         b.router.read = b.router.heard = 0.0
         for i in range(int(-10 * per_second), int(8 * per_second) + 1):
@@ -419,7 +423,7 @@
     c = b.take()
     b.router.read, b.router.heard = 40.0, 40.0 * answered
     b.engines((20, 0), started=b.now)
-    b.router.slow_start.recent.extend(texts_for_each(b.router, Role.READER))
+    b.router.slow_start.recent.extend(texts_for_each(b.router, Role.PREFILL))
     engine = b.router.engines[20]
     let_in = 0
     for i in range(1000):
@@ -434,12 +438,12 @@
     b.engines((13, 1))
     for i in range(8):
         b.engines((20, 0), started=b.now)
-        c = b.take(session=f"s{i}", due=b.now + 30.0)
+        c = b.take(session=f"s{i}", deadline=b.now + 30.0)
         b.wait(9.5)
-        assert c.dispatches and c.dispatches[0].engine.number == 20
-        b.end(c, Verdict.READ)
+        assert c.attempts and c.attempts[0].engine.number == 20
+        b.end(c, Outcome.PREFILLED)
         b.first(c)
-        b.end(c, Verdict.FINISHED, closed=True)
+        b.end(c, Outcome.FINISHED, closed=True)
 
 
 def test_a_decision_costs_no_more_than_the_list_is_long(bench: New, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -449,14 +453,14 @@
     b.engines(*[(i, 0) for i in range(1024)], started=b.now)
     b.now += 0.1
     looks = 0
-    cold = b.router.slow_start.cold
+    cold = b.router.slow_start.is_cold
 
     def counted(engine: Engine) -> bool:
         nonlocal looks
         looks += 1
         return cold(engine)
 
-    monkeypatch.setattr(b.router.slow_start, "cold", counted)
+    monkeypatch.setattr(b.router.slow_start, "is_cold", counted)
     b.take(5000)
     assert 1024 <= looks <= 16 * 1024
 
@@ -470,18 +474,18 @@
     cold = {}
     for i in range(60):
         c = b.take(session=str(i), shared=f"text {i}", shared_tokens=4000)
-        b.end(c, Verdict.READ)
-        cold[i] = c.dispatches[0].engine.number
+        b.end(c, Outcome.PREFILLED)
+        cold[i] = c.attempts[0].engine.number
         b.first(c)
-        b.end(c, Verdict.FINISHED, closed=True)
+        b.end(c, Outcome.FINISHED, closed=True)
         b.router.engines[16].cold_sends.clear()
     b.now += 20.0
     for i in range(60):
         c = b.take(session=str(i), shared=f"text {i}", shared_tokens=4000)
-        assert c.dispatches[0].engine.number == cold[i]
-        b.end(c, Verdict.READ)
+        assert c.attempts[0].engine.number == cold[i]
+        b.end(c, Outcome.PREFILLED)
         b.first(c)
-        b.end(c, Verdict.FINISHED, closed=True)
+        b.end(c, Outcome.FINISHED, closed=True)
     assert 3 <= sum(number == 16 for number in cold.values()) <= 20
 
 
@@ -492,9 +496,9 @@
     readers = []
     for i in range(5):
         c = b.take(session=f"s{i}", shared="text", shared_tokens=4000)
-        readers.append(c.dispatches[0].engine.number)
+        readers.append(c.attempts[0].engine.number)
         if i != 3:
-            b.end(c, Verdict.READ)
+            b.end(c, Outcome.PREFILLED)
     first, *_, beside = readers
     assert readers[:4] == [first] * 4 and beside != first
 
@@ -504,7 +508,7 @@
     b.engines(*FLEET)
     c = b.take(1900)
     b.first(c)
-    b.end(c, Verdict.FINISHED, closed=True)
+    b.end(c, Outcome.FINISHED, closed=True)
     assert b.router.engines[14].kept(c) == 1900
     b.engines((14, 2), started=b.now)
     assert b.router.engines[14].kept(c) == 0
@@ -516,8 +520,8 @@
         b.engines(*FLEET, (15, 1), (16, 1), (17, 1))
         for i in range(20):
             c = b.take(1000 + 300 * i, session=f"s{i % 4}")
-            if c.out and c.out.reading:
-                b.end(c, Verdict.READ)
+            if c.current_attempt and c.current_attempt.is_prefill:
+                b.end(c, Outcome.PREFILLED)
         return b.asked()
 
     assert play() == play()
@@ -529,10 +533,10 @@
     waits = []
     for i in range(4):
         c = b.take(500, session=str(i))
-        b.end(c, Verdict.FULL, after=0.01)
-        waits.append(round(b.router.engines[14].rests[None][0] - b.now, 2))
-        b.now = b.router.engines[14].rests[None][0]
-        c.left()
+        b.end(c, Outcome.FULL, after=0.01)
+        waits.append(round(b.router.engines[14].cooldowns[None][0] - b.now, 2))
+        b.now = b.router.engines[14].cooldowns[None][0]
+        c.client_left()
     assert waits == [0.25, 0.5, 1.0, 2.0]
 
 
@@ -552,7 +556,7 @@
 def test_an_engine_is_backed_up_by_what_it_has_not_answered(bench: New) -> None:
     b = bench()
     b.engines((10, 0), (12, 1))
-    b.end(b.take(), Verdict.READ, after=0.01)
+    b.end(b.take(), Outcome.PREFILLED, after=0.01)
     b.asked()
     b.take(session="x")
     b.wait(0.45)  # not overdue yet, but longer than a good answer takes
@@ -563,19 +567,19 @@
 def test_what_waited_once_is_answered_at_once_when_its_dispatch_expires(bench: New) -> None:
     b = bench()
     b.engines((14, 2))
-    b.router.engines[14].rests[None] = b.now + 0.1, 0.1
-    c = b.take(500, due=b.now + 1.0)
+    b.router.engines[14].cooldowns[None] = b.now + 0.1, 0.1
+    c = b.take(500, deadline=b.now + 1.0)
     b.wait(0.2)
     b.now += 0.78
     b.router.decide()
-    b.end(c, Verdict.TIMED_OUT, after=0.005)  # right after a look, near the client timeout
+    b.end(c, Outcome.TIMED_OUT, after=0.005)  # right after a look, near the client timeout
     assert b.asked() == [("send", 14), ("rate_limit",)]
 
 
 def test_a_failed_subscription_is_asked_for_again_after_a_while(bench: New) -> None:
     b = bench(subscribe=True)
     b.router.decide()
-    b.router.list_failed()
+    b.router.list_request_failed()
     b.router.decide()
     assert b.asked() == [("subscribe",)]  # the first, at the start
     b.wait(1.6)
@@ -586,13 +590,13 @@
     b = bench()
     b.engines((10, 0), (12, 1))
     for _ in range(60):
-        b.router.read_fit.add(read_features(5000), 2.0, b.now)
+        b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
     asked = []
     for _ in range(2):
         b.router.asked, b.router.counted_at = 3.5, b.now
         c = b.take()
         asked += b.asked()
-        c.left()
+        c.client_left()
         b.now += 20.0
     assert asked == [("rate_limit",), ("send", 10)]
 
@@ -603,10 +607,10 @@
     b = bench()
     b.engines((10, 0), (11, 0), (12, 1), (13, 1))
     for _ in range(60):
-        b.router.read_fit.add(read_features(5000), 2.0, b.now)
+        b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
     b.router.asked, b.router.counted_at = 10.0, b.now
     taken = [b.take(session=str(n)) for n in range(40)]
-    assert not any(c.dispatches for c in taken) and all(c.over for c in taken)
+    assert not any(c.attempts for c in taken) and all(c.over for c in taken)
     by_chance = sum(c.late_at == -inf for c in taken)
     assert 0 < by_chance < 40 and b.router.asked == pytest.approx(10.0 + by_chance)
 
@@ -619,8 +623,8 @@
     b.engines((12, 1), (14, 2))
     for _ in range(2):
         b.now += 4.0  # past its rest
-        c = b.take(1000, due=b.now + left)
-        b.end(c, Verdict.TIMED_OUT, after=left)
+        c = b.take(1000, deadline=b.now + left)
+        b.end(c, Outcome.TIMED_OUT, after=left)
         b.asked()
     assert (b.router.engines[14].failures > 0) == counts
 
@@ -628,12 +632,12 @@
 @pytest.mark.parametrize(
     "effect, group, gone, after, answer",
     [
-        (TOKENED, Group.CELL, False, 2.5, "abort"),
-        (TOKENED, Group.ZONE, False, 2.5, "abort"),
-        (TOKENED, Group.ALL, False, 2.5, "rate_limit"),
-        (TOKENED, Group.CELL, True, 0.1, "abort"),
-        (TOKENED, Group.ZONE, True, 0.1, "abort"),
-        (TOKENED, Group.ALL, True, 0.1, "send"),
+        (IDEMPOTENCY_KEYED, Group.CELL, False, 2.5, "abort"),
+        (IDEMPOTENCY_KEYED, Group.ZONE, False, 2.5, "abort"),
+        (IDEMPOTENCY_KEYED, Group.ALL, False, 2.5, "rate_limit"),
+        (IDEMPOTENCY_KEYED, Group.CELL, True, 0.1, "abort"),
+        (IDEMPOTENCY_KEYED, Group.ZONE, True, 0.1, "abort"),
+        (IDEMPOTENCY_KEYED, Group.ALL, True, 0.1, "send"),
         (IDEMPOTENT, Group.ALL, True, 0.1, "send"),
         (NON_IDEMPOTENT, Group.ALL, False, 0.1, "abort"),
     ],
@@ -644,15 +648,15 @@
     """Past its memory time, or with its group gone, a tokened one waited for most of its client timeout."""
     b = bench(effect=effect, group=group, try_limit=9)
     b.engines((10, 0), (112, 1), (212, 1))
-    c = b.take(due=b.now + 60.0)
-    b.end(c, Verdict.READ)
+    c = b.take(deadline=b.now + 60.0)
+    b.end(c, Outcome.PREFILLED)
     if gone:
-        b.engines((c.dispatches[-1].engine.number, 1), health=Health.DRAINING)
+        b.engines((c.attempts[-1].engine.number, 1), health=Health.DRAINING)
     b.asked()
-    b.end(c, Verdict.ERROR, after=after)
+    b.end(c, Outcome.ERROR, after=after)
     assert b.asked()[-1][0] == answer
     b.wait(1.0)
-    assert c.settled == (answer != "send")
+    assert c.is_done == (answer != "send")
 
 
 @pytest.mark.parametrize(
@@ -667,13 +671,13 @@
 def test_a_tokened_one_waits_for_room_no_longer_than_its_group_may_take_it(
     bench: New, rest: float, gone: bool, waited: float, answer: str
 ) -> None:
-    b = bench(effect=TOKENED, group=Group.CELL)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=Group.CELL)
     b.engines((10, 0), (12, 1), (22, 1))
-    c = b.take(due=b.now + 60.0)
-    b.end(c, Verdict.READ)
-    b.end(c, Verdict.ERROR)
+    c = b.take(deadline=b.now + 60.0)
+    b.end(c, Outcome.PREFILLED)
+    b.end(c, Outcome.ERROR)
     b.router.engines[10].rest(None, b.now, b.now, rest)
-    b.end(c, Verdict.FULL, detail=1)  # the state is gone: it waits for the reader
+    b.end(c, Outcome.FULL, detail=1)  # the state is gone: it waits for the reader
     b.asked()
     if gone:
         b.engines((12, 1), health=Health.DRAINING)
@@ -681,22 +685,22 @@
     assert [asked[0] for asked in b.asked()] == [answer] * bool(answer)
 
 
-@pytest.mark.parametrize("verdict", [v for v in Verdict if v not in (Verdict.READ, Verdict.FINISHED)])
+@pytest.mark.parametrize("verdict", [v for v in Outcome if v not in (Outcome.PREFILLED, Outcome.FINISHED)])
 @pytest.mark.parametrize("group, refused", [(Group.ALL, "rate_limit"), (Group.ZONE, "abort")])
 def test_a_tokened_one_is_not_repeated_where_engines_may_read_late(
-    bench: New, group: Group, refused: str, verdict: Verdict
+    bench: New, group: Group, refused: str, verdict: Outcome
 ) -> None:
     """After one that may have run it is answered at once; after one that never ran it is sent again."""
-    b = bench(effect=TOKENED, group=group, keyed_repeats=False)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=False)
     b.engines((10, 0), (12, 1), (22, 1))
-    c = b.take(due=b.now + 60.0)
-    b.end(c, Verdict.READ)
+    c = b.take(deadline=b.now + 60.0)
+    b.end(c, Outcome.PREFILLED)
     b.asked()
     b.end(c, verdict, after=0.01)
     b.wait(0.1)
     sent = [asked for asked in b.asked() if asked[0] != "release"]
     assert [asked[0] for asked in sent] == ["send" if verdict in NEVER_RAN else refused]
-    assert c.settled == (verdict not in NEVER_RAN)
+    assert c.is_done == (verdict not in NEVER_RAN)
 
 
 @pytest.mark.parametrize(
@@ -707,10 +711,10 @@
     bench: New, keyed_repeats: bool, group: Group, patience: float
 ) -> None:
     """Half its time would be left over for a repeat that is not made; one that is refused comes again."""
-    b = bench(effect=TOKENED, group=group, keyed_repeats=keyed_repeats)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     b.engines(*FLEET)
-    c = b.take(due=b.now + 20.0)
-    b.end(c, Verdict.READ)
+    c = b.take(deadline=b.now + 20.0)
+    b.end(c, Outcome.PREFILLED)
     assert b.patience == pytest.approx(patience)
 
 
@@ -721,15 +725,15 @@
 def test_a_tokened_one_ends_at_a_silent_engine_only_where_its_client_may_come_again(
     bench: New, keyed_repeats: bool, group: Group, ends: bool
 ) -> None:
-    b = bench(effect=TOKENED, group=group, keyed_repeats=keyed_repeats)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     b.engines((10, 0), (12, 1), (22, 1))
-    c = b.take(due=b.now + 20.0)
-    b.end(c, Verdict.READ)
+    c = b.take(deadline=b.now + 20.0)
+    b.end(c, Outcome.PREFILLED)
     b.wait(0.4)
     b.asked()
     c.engine_silent(1)
     assert b.asked() == [("cancel", 1)] * ends
-    b.end(c, Verdict.CANCELLED)
+    b.end(c, Outcome.CANCELLED)
     if not keyed_repeats:
         answers = [asked[0] for asked in b.asked() if asked[0] != "release"]
         assert answers == ["rate_limit" if group is Group.ALL else "abort"]
@@ -742,9 +746,9 @@
     b = bench(try_limit=2)
     b.engines((10, 0), (12, 1), *beside)
     c = b.take()
-    assert c.dispatches[0].reading
+    assert c.attempts[0].is_prefill
     b.asked()
-    b.end(c, Verdict.UNREACHABLE)
+    b.end(c, Outcome.UNREACHABLE)
     assert b.asked()[-1][0] == then
 
 
@@ -772,17 +776,17 @@
         for n in range(6):
             c = b.take(session=f"s{n % 2}")
             if answer == "limited":
-                assert c.settled and b.asked() == [("rate_limit",)]
+                assert c.is_done and b.asked() == [("rate_limit",)]
                 continue
-            assert c.out and c.out.engine.kind.role is KINDS[int(answer[-1])].role
-            if c.out.reading:
-                b.end(c, Verdict.READ)
+            assert c.current_attempt and c.current_attempt.engine.kind.role is KINDS[int(answer[-1])].role
+            if c.current_attempt.is_prefill:
+                b.end(c, Outcome.PREFILLED)
             b.first(c)
-            b.end(c, Verdict.FINISHED, closed=True)
-            assert c.settled
-        b.router.list_begins(complete=True)
-        b.router.list_ends()
-        assert b.take().settled  # all of it gone
+            b.end(c, Outcome.FINISHED, closed=True)
+            assert c.is_done
+        b.router.begin_list_update(complete=True)
+        b.router.end_list_update()
+        assert b.take().is_done  # all of it gone
 
 
 def test_a_front_that_has_just_started_waits_for_its_list(bench: New) -> None:
@@ -810,8 +814,8 @@
     b.engines((12, 2))
     for _ in range(3):
         c = b.take()
-        b.end(c, Verdict.FINISHED, closed=True)
-        assert c.settled and b.asked() == [("send", 12)]
+        b.end(c, Outcome.FINISHED, closed=True)
+        assert c.is_done and b.asked() == [("send", 12)]
     assert b.router.good > 2.0
 
 
@@ -820,9 +824,9 @@
     b.engines((10, 0), (12, 1))
     c = b.take()
     b.engines((10, 1), (12, 0))
-    b.end(c, Verdict.UNREACHABLE)
-    assert [d.engine.kind.role for d in c.dispatches] == [Role.READER, Role.READER]
-    assert b.asked() == [("send", 10), ("send", 12)] and not b.router.engines[10].out
+    b.end(c, Outcome.UNREACHABLE)
+    assert [d.engine.kind.role for d in c.attempts] == [Role.PREFILL, Role.PREFILL]
+    assert b.asked() == [("send", 10), ("send", 12)] and not b.router.engines[10].in_flight
 
 
 @pytest.mark.parametrize("subscribe", [True, False])
@@ -833,7 +837,7 @@
     b.engines((13, 1), started=-2.0)  # before it began: cold still
     b.router.decide()
     assert (("subscribe",) in b.asked()) == subscribe
-    cold = b.router.slow_start.cold
+    cold = b.router.slow_start.is_cold
     assert cold(b.router.engines[13]) and not cold(b.router.engines[12])
     b.take()
     assert b.asked() == [("send", 10)]
@@ -843,7 +847,7 @@
     "settings, hint",
     [
         ({"workloads": [Workload(1.0, 0.0, 0.0, IDEMPOTENT, Group.ALL, 0.0, 1.0)]}, 2.0),
-        ({"kinds": [Kind(role, 0) for role in Role]}, 0.0),
+        ({"kinds": [EngineKind(role, 0) for role in Role]}, 0.0),
         ({"cold_window": 0.0}, 0.0),
         ({"warm_after": 0.0}, 0.0),
         ({"pin_limit": 0.0}, 0.0),
@@ -857,12 +861,12 @@
     b.engines((11, 0), (13, 1), started=b.now - 1.0)
     for n in range(4):
         c = b.take(session=str(n), answer_hint=hint)
-        while c.out and c.out.reading:
-            b.end(c, Verdict.READ)
-        assert c.out
+        while c.current_attempt and c.current_attempt.is_prefill:
+            b.end(c, Outcome.PREFILLED)
+        assert c.current_attempt
         b.first(c)
-        b.end(c, Verdict.FINISHED, closed=True)
-        assert c.settled
+        b.end(c, Outcome.FINISHED, closed=True)
+        assert c.is_done
 
 
 @pytest.mark.parametrize("after, writer", [(3.0, 22), (REST_MOST + 2.0, 12)])
@@ -874,30 +878,30 @@
     b = bench()
     b.engines((10, 0), (12, 1), (22, 1))
     first = b.take()
-    b.end(first, Verdict.READ)
+    b.end(first, Outcome.PREFILLED)
     assert b.asked()[-1] == ("send", 12)  # in the reader's cell
     b.first(first, 0.9)
-    b.end(first, Verdict.FINISHED, closed=True)
+    b.end(first, Outcome.FINISHED, closed=True)
     b.wait(after)
     b.asked()
-    b.end(b.take(session="t"), Verdict.READ)
+    b.end(b.take(session="t"), Outcome.PREFILLED)
     assert [done for done in b.asked() if done[0] == "send"][-1] == ("send", writer)
 
 
 @pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
 def test_a_repeat_stays_in_its_zone_where_no_cells_are_told(bench: New, group: Group) -> None:
     """A layout without cells names none: all engines look like one cell, in whatever zone they lie."""
-    b = bench(effect=TOKENED, group=group)
-    b.router.list_begins(True)
+    b = bench(effect=IDEMPOTENCY_KEYED, group=group)
+    b.router.begin_list_update(True)
     for number, zone, kind in ((1, 0, 0), (2, 0, 1), (3, 1, 1)):
-        b.router.list_row(number, zone, kind, 0, Health.ON, 1.0, 0.0)
-    b.router.list_ends()
+        b.router.update_engine(number, zone, kind, 0, Health.ON, 1.0, 0.0)
+    b.router.end_list_update()
     c = b.take()
-    b.end(c, Verdict.READ)
-    first = c.dispatches[-1].engine
+    b.end(c, Outcome.PREFILLED)
+    first = c.attempts[-1].engine
     first.health = Health.DRAINING
     b.asked()
-    b.end(c, Verdict.BROKEN)
+    b.end(c, Outcome.BROKEN)
     assert "send" not in [asked[0] for asked in b.asked()]
 
 
@@ -906,11 +910,11 @@
     b = bench()
     b.engines((10, 0), (12, 1))
     c = b.take(500)
-    b.end(c, Verdict.READ)
-    b.engines((12, 1), health=Health.GONE)
+    b.end(c, Outcome.PREFILLED)
+    b.engines((12, 1), health=Health.REMOVED)
     b.engines((14, 2))
     b.asked()
-    b.end(c, Verdict.TIMED_OUT, after=1.0)
+    b.end(c, Outcome.TIMED_OUT, after=1.0)
     assert b.asked() == [("release",), ("send", 14)]
-    b.end(c, Verdict.TIMED_OUT, after=1.0)
+    b.end(c, Outcome.TIMED_OUT, after=1.0)
     assert b.asked()[0] == ("release",)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -58,7 +58,7 @@
         (await b.asked(number + 1)).sock.sendall(GOOD)
         await until(lambda number=number: client.whole == number + 1, f"stream {number}")  # type: ignore[misc]
     assert client.answers == REQUESTS * [200]
-    assert all(not e.failures and not e.rests for e in play.node.core.router.engines.values())
+    assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
     assert (a.posts, b.posts) == (REQUESTS, REQUESTS)
 
 
@@ -132,7 +132,7 @@
         (await play.engines[1].asked()).sock.sendall(GOOD)
         await until(lambda: client.whole == 1, "the stream's end")
         assert not left
-        assert all(not e.failures and not e.rests for e in play.node.core.router.engines.values())
+        assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
 
     run_day(tmp_path, day)
 
--- a/tests/test_release_schedule.py
+++ b/tests/test_release_schedule.py
@@ -4,10 +4,10 @@
 
 import pytest
 
-from heathford.interface import HELD_ALLOWANCE, HELD_UP
+from heathford.interface import HELD_ALLOWANCE, STALL_ALLOWANCE
 from heathford.platform.link import kept_back
 from heathford.platform.release_schedule import ASKED_MOST, REFUSED_MOST, SPACING, SPACINGS, ReleaseSchedule
-from heathford.policy.held_state import RELEASE_TAKES, HandedOver, release_due
+from heathford.policy.held_state import RELEASE_DURATION, PendingReleases, release_time
 
 LIMIT = 0.3  # s
 
@@ -30,7 +30,7 @@
     spacing = min(SPACING, limit / SPACINGS)
     rounds = [0, 1, 2, 2, 3, 3, 3, 3, *8 * [4]]
     assert times == pytest.approx([number * spacing for number in rounds]) and len(times) == ASKED_MOST
-    assert times[3] <= RELEASE_TAKES
+    assert times[3] <= RELEASE_DURATION
 
 
 def test_nobody_is_asked_once_the_time_is_over() -> None:
@@ -52,9 +52,9 @@
 
 @pytest.mark.parametrize("limit", [0.05, 0.3, 0.5, 2.0])
 def test_a_state_is_due_in_time_for_a_hold_up_and_its_release(limit: float) -> None:
-    due = release_due(10.0, limit)
+    due = release_time(10.0, limit)
     assert due >= 10.0
-    assert due + RELEASE_TAKES + HELD_UP <= 10.0 + limit + HELD_ALLOWANCE + 1e-9
+    assert due + RELEASE_DURATION + STALL_ALLOWANCE <= 10.0 + limit + HELD_ALLOWANCE + 1e-9
 
 
 class Held:
@@ -69,19 +69,19 @@
 
 def test_one_timer_is_out_for_the_state_that_is_due_first() -> None:
     wakes = list[float]()
-    states = HandedOver(wakes.append)
+    states = PendingReleases(wakes.append)
     first, second, gone = Held(10.3), Held(10.4), Held(10.2)
     for held in (second, first, gone):
         states.add(held, 10.0)
     assert wakes == pytest.approx([0.4, 0.3, 0.2])
     states.remove(gone)
-    states.release_due_ones(10.1)
+    states.release_expired(10.1)
     assert len(wakes) == 3
-    states.release_due_ones(10.2)
+    states.release_expired(10.2)
     assert not gone.released and wakes[3:] == pytest.approx([0.1])
-    states.release_due_ones(10.2995)  # timers may be a little early
+    states.release_expired(10.2995)  # timers may be a little early
     assert first.released and not second.released and wakes[4:] == pytest.approx([0.1005])
-    states.release_due_ones(11.0)
+    states.release_expired(11.0)
     assert second.released and states.next_due == inf and len(wakes) == 5
 
 
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -20,7 +20,7 @@
 from heathford.client.retry import Attempt, Budget, Fronts, Trouble
 from heathford.fuzz.sessions import Served
 from heathford.identity.tries import Tries
-from heathford.interface import Effect, Health, Verdict
+from heathford.interface import Effect, Health, Outcome
 from heathford.sessions.versions import VersionError, of_header, of_subprotocols
 from heathford.terminal.app import TryApp
 from heathford.terminal.board import Board, prompts_of
@@ -100,7 +100,7 @@
         (1, Effect.NON_IDEMPOTENT, False, None),
         (2, Effect.IDEMPOTENT, True, "anywhere"),
         (2, Effect.IDEMPOTENT, False, "anywhere"),
-        (2, Effect.TOKENED, False, "never"),
+        (2, Effect.IDEMPOTENCY_KEYED, False, "never"),
         (2, Effect.NON_IDEMPOTENT, False, "never"),
     ],
 )
@@ -116,7 +116,7 @@
             while True:
                 for call in served.link.calls:
                     call.events.first_token()
-                    call.events.ended(Verdict.BROKEN, 0, {}, {})
+                    call.events.ended(Outcome.BROKEN, 0, {}, {})
                 await asyncio.sleep(0.005)
 
         breaking = asyncio.ensure_future(break_all())
--- a/tests/test_session_rules.py
+++ b/tests/test_session_rules.py
@@ -212,7 +212,7 @@
         return found
 
     begin("once", Effect.NON_IDEMPOTENT, True)
-    begin("marked", Effect.TOKENED, True)
+    begin("marked", Effect.IDEMPOTENCY_KEYED, True)
     begin("free", Effect.IDEMPOTENT, True)
     begin("out", Effect.IDEMPOTENT, False)
     begin("a", Effect.IDEMPOTENT, False)
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -15,7 +15,7 @@
 from heathford.fuzz.frames import ORDINARY, VIOLATIONS, Case, frame, handshake
 from heathford.fuzz.sessions import Heard, Served, half_closes, listen
 from heathford.fuzz.sessions import play as play_frames
-from heathford.interface import Effect, Verdict
+from heathford.interface import Effect, Outcome
 from heathford.sessions.protocol import StrictProtocol
 
 Scene = Callable[[Served, ClientConnection], Awaitable[None]]
@@ -291,7 +291,11 @@
 
 @pytest.mark.parametrize(
     "effect, dispatches, tallies",
-    [(Effect.IDEMPOTENT, 4, (2, 1)), (Effect.NON_IDEMPOTENT, 2, (1, 0)), (Effect.TOKENED, 2, (1, 0))],
+    [
+        (Effect.IDEMPOTENT, 4, (2, 1)),
+        (Effect.NON_IDEMPOTENT, 2, (1, 0)),
+        (Effect.IDEMPOTENCY_KEYED, 2, (1, 0)),
+    ],
 )
 def test_a_client_that_comes_again(effect: Effect, dispatches: int, tallies: tuple[int, int]) -> None:
     """What may run again ended with its client, and runs again; what must not goes on, and is joined."""
@@ -521,7 +525,7 @@
         async with asyncio.timeout(10.0):
             while any(len(h.texts) < 3 for h in heard):
                 for call in served.link.calls[broken:]:
-                    call.events.ended(Verdict.BROKEN, 0, {}, {})
+                    call.events.ended(Outcome.BROKEN, 0, {}, {})
                 broken = len(served.link.calls)
                 await asyncio.sleep(0.005)
         for h in heard:
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -53,7 +53,7 @@
             assert two.node.core.router.retry_after == 0.0 < one.node.core.router.retry_after
             # What one learns of an engine of the same name and number is not known to the other.
             assert one.node.core.router.engines is not two.node.core.router.engines
-            assert one.node.core.router.read_fit.answers == two.node.core.router.read_fit.answers == 1
+            assert one.node.core.router.prefill_fit.answers == two.node.core.router.prefill_fit.answers == 1
 
     asyncio.run(day())
 
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -29,7 +29,7 @@
 
 async def followed(agent: SlowAgent, changes: list[ListChange]) -> DiscoveryClient:
     host, _, port = (await agent.open()).rpartition(":")
-    client = DiscoveryClient(host, int(port), Instances({"m0": (0, Role.READER)}, ["a"]), changes.append)
+    client = DiscoveryClient(host, int(port), Instances({"m0": (0, Role.PREFILL)}, ["a"]), changes.append)
     client.start()
     return client
 
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -11,7 +11,7 @@
 from raw_peers import Day, RawClient, RawEngine, answer_releases, decode, prefill, request, run_day, until
 
 from heathford.core.doors import Arrival
-from heathford.interface import HELD_UP, Effect, Verdict
+from heathford.interface import STALL_ALLOWANCE, Effect, Outcome
 from heathford.platform.release_schedule import SPACING
 from heathford.standin.platform import GOOD, READ, WORDS
 
@@ -46,10 +46,12 @@
     run_day(tmp_path, day, prefill(), deaf_decode())
 
 
-@pytest.mark.parametrize("verdict", [Verdict.UNARRIVED, Verdict.UNREACHABLE, Verdict.UNSENT, Verdict.CROWDED])
+@pytest.mark.parametrize(
+    "verdict", [Outcome.UNARRIVED, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.NO_FREE_CONNECTION]
+)
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_attempts_that_reach_nobody_do_not_restart_the_clock(
-    instance: Callable[..., Instance], monkeypatch: pytest.MonkeyPatch, effect: Effect, verdict: Verdict
+    instance: Callable[..., Instance], monkeypatch: pytest.MonkeyPatch, effect: Effect, verdict: Outcome
 ) -> None:
     """Each attempt is given up when the core looks."""
 
@@ -71,7 +73,7 @@
     i.engines((10, 0), (12, 1), (13, 1))
     client, _ = i.take()
     i.read()
-    i.link.out[-1].events.ended(Verdict.UNARRIVED, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.UNARRIVED, 0, {}, {})
     i.loop.turn()
     assert client.finals == ["aborted: given up"] and len(i.link.out) == 2
 
@@ -85,7 +87,7 @@
     i.read()
     for _ in range(3):
         i.loop.pass_time(LIMIT / 6)
-        i.link.out[-1].events.ended(Verdict.BROKEN, 0, {}, {})
+        i.link.out[-1].events.ended(Outcome.BROKEN, 0, {}, {})
         i.loop.turn()
     assert i.link.released == [i.link.out[0].name]
 
@@ -170,14 +172,14 @@
     assert i.link.released == [i.link.out[0].name]
     assert len(i.link.out) == 2 and not i.link.out[1].cancelled
     i.link.out[1].events.first_token()
-    i.link.out[1].events.ended(Verdict.FINISHED, 0, {}, {})
+    i.link.out[1].events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     assert i.core.tally.finished == 1
 
 
-@pytest.mark.parametrize("verdict", [Verdict.FULL, Verdict.ERROR])
+@pytest.mark.parametrize("verdict", [Outcome.FULL, Outcome.ERROR])
 def test_what_an_engine_itself_answers_restarts_the_clock(
-    instance: Callable[..., Instance], verdict: Verdict
+    instance: Callable[..., Instance], verdict: Outcome
 ) -> None:
     i = behind_attempt(instance, Effect.IDEMPOTENT)
     i.loop.pass_time(0.2)
@@ -188,10 +190,10 @@
     assert len(i.link.released) == 1
 
 
-@pytest.mark.parametrize("verdict", [Verdict.TIMED_OUT, Verdict.BROKEN, Verdict.CANCELLED])
+@pytest.mark.parametrize("verdict", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED])
 @pytest.mark.parametrize("after", [0.13, 0.3])
 def test_an_attempt_that_lasts_and_says_nothing_does_not_restart_the_clock(
-    instance: Callable[..., Instance], verdict: Verdict, after: float
+    instance: Callable[..., Instance], verdict: Outcome, after: float
 ) -> None:
     """Three attempts in a row at stopped engines: each had lasted past the look, and held the state anew."""
     i = behind_attempt(instance, Effect.IDEMPOTENT)
@@ -202,7 +204,8 @@
 
 
 @pytest.mark.parametrize(
-    "effect, again", [(Effect.IDEMPOTENT, True), (Effect.TOKENED, False), (Effect.NON_IDEMPOTENT, False)]
+    "effect, again",
+    [(Effect.IDEMPOTENT, True), (Effect.IDEMPOTENCY_KEYED, False), (Effect.NON_IDEMPOTENT, False)],
 )
 def test_where_its_engine_is_silent_as_well_a_request_that_may_be_repeated_is_read_anew(
     instance: Callable[..., Instance], effect: Effect, again: bool
@@ -215,19 +218,19 @@
     i.loop.turn()
     assert i.link.out[1].cancelled is again
     assert [out.engine[:2] for out in i.link.out[2:]] == ["e1"] * again
-    assert i.core.router.engines[int(engine[1:])].rests  # new ones go elsewhere
+    assert i.core.router.engines[int(engine[1:])].cooldowns  # new ones go elsewhere
 
 
 def test_a_keyed_one_is_read_anew_once_its_silent_engine_tells_that_it_has_not_run(
     instance: Callable[..., Instance],
 ) -> None:
     """Silence is no reason to repeat it: what lies at that engine may be read after the window of its key."""
-    i = behind_attempt(instance, Effect.TOKENED)
+    i = behind_attempt(instance, Effect.IDEMPOTENCY_KEYED)
     i.loop.pass_time(DUE + 0.01)
     i.link.life_asked[0][1](False)
     i.loop.pass_time(0.1)
     assert len(i.link.out) == 2 and not i.link.out[1].cancelled
-    i.link.out[1].events.ended(Verdict.FULL, 1, {}, {})
+    i.link.out[1].events.ended(Outcome.FULL, 1, {}, {})
     i.loop.turn()
     assert [out.engine[:2] for out in i.link.out[2:]] == ["e1"]
 
@@ -256,10 +259,10 @@
     i = behind_attempt(instance, effect)
     i.loop.pass_time(DUE + 0.01)
     out = i.link.out[1]
-    out.events.ended(Verdict.FULL, 1, {}, {})
+    out.events.ended(Outcome.FULL, 1, {}, {})
     i.loop.turn()
     assert [further.engine for further in i.link.out[2:]] in (["e10"], ["e11"])
-    assert not i.core.router.engines[int(out.engine[1:])].rests
+    assert not i.core.router.engines[int(out.engine[1:])].cooldowns
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
@@ -288,7 +291,7 @@
         (await reader.asked()).sock.sendall(part)
         began = time.monotonic()
         await until(lambda: reader.deletes > 0, "the release")
-        assert time.monotonic() - began <= LIMIT + ALLOWANCE - HELD_UP
+        assert time.monotonic() - began <= LIMIT + ALLOWANCE - STALL_ALLOWANCE
 
     run_day(tmp_path, day)
 
@@ -336,7 +339,7 @@
     i.engines((10, 0), (12, 1))
     i.take()
     i.link.out[-1].events.answer_begun()
-    i.link.out[-1].events.ended(Verdict.FULL, 0, {}, {})
+    i.link.out[-1].events.ended(Outcome.FULL, 0, {}, {})
     i.loop.turn()
     assert i.link.released == [] and i.core.told_of_held()["open"] == 0
 
@@ -406,7 +409,7 @@
         play.node.link.release(play.node.instances.listed(0)[0][0], "c0", heard)
         (await running.asked(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
-        assert time.monotonic() - began < ALLOWANCE - HELD_UP + 0.1
+        assert time.monotonic() - began < ALLOWANCE - STALL_ALLOWANCE + 0.1
         assert heard.told[-1].startswith("confirmed")
 
     run_day(
@@ -443,11 +446,11 @@
 
 @pytest.mark.parametrize(
     "verdict, detail",
-    [(Verdict.FULL, 0), (Verdict.FULL, 1), (Verdict.ERROR, 0), (Verdict.TIMED_OUT, 0), (Verdict.BROKEN, 0)],
+    [(Outcome.FULL, 0), (Outcome.FULL, 1), (Outcome.ERROR, 0), (Outcome.TIMED_OUT, 0), (Outcome.BROKEN, 0)],
 )
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_what_a_release_left_to_an_attempt_is_released_when_that_ends(
-    instance: Callable[..., Instance], effect: Effect, verdict: Verdict, detail: int
+    instance: Callable[..., Instance], effect: Effect, verdict: Outcome, detail: int
 ) -> None:
     """A release leaves what an attempt waits for that has arrived; the attempt may end without taking it.
     Seen in the simulator: pinned on three of four days."""
@@ -475,7 +478,7 @@
     i = behind_attempt(instance, Effect.IDEMPOTENT)
     i.loop.pass_time(DUE + 0.01)
     i.link.out[1].events.first_token()
-    i.link.out[1].events.ended(Verdict.BROKEN, 0, {}, {})
+    i.link.out[1].events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.turn()
     assert len(i.link.released) == 1
 
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -62,7 +62,7 @@
         (await a.asked()).sock.sendall(READ)
         (await b.asked()).sock.sendall(GOOD)
         await until(lambda: client.whole == 1, "the stream's end")
-        assert all(not e.failures and not e.rests for e in play.node.core.router.engines.values())
+        assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
         pools = play.node.link.pools
         assert not pools.open - sum(len(pool.idle) for pool in pools.pools.values())
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -15,7 +15,7 @@
 from heathford.core.doors import Endpoint
 from heathford.engines.link import EngineLink
 from heathford.fuzz.sessions import Served
-from heathford.interface import Role, Verdict
+from heathford.interface import Role, Outcome
 from heathford.script.script import read_script
 from heathford.standin.server import Exchange, Server
 from heathford.tls.files import Keys, key_mistakes
@@ -224,7 +224,7 @@
 
 class Heard:
     def __init__(self) -> None:
-        self.verdict: asyncio.Future[Verdict] = asyncio.get_running_loop().create_future()
+        self.verdict: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
 
     def wanted(self) -> bool:
         return True
@@ -235,20 +235,20 @@
 
     def tokens(self, text: str) -> None: ...
 
-    def ended(self, verdict: Verdict, detail: int, load: Any, answer: Any) -> None:
+    def ended(self, verdict: Outcome, detail: int, load: Any, answer: Any) -> None:
         self.verdict.set_result(verdict)
 
 
 @pytest.mark.parametrize(
     "name, trusted, verdict",
     [
-        ("engine-1", CA, Verdict.READ),
-        ("engine-2", CA, Verdict.UNREACHABLE),
-        ("engine-1", OTHER, Verdict.UNREACHABLE),
+        ("engine-1", CA, Outcome.PREFILLED),
+        ("engine-2", CA, Outcome.UNREACHABLE),
+        ("engine-1", OTHER, Outcome.UNREACHABLE),
     ],
 )
 def test_an_engine_is_known_by_its_name_in_the_list(
-    tmp_path: Path, name: str, trusted: Authority, verdict: Verdict
+    tmp_path: Path, name: str, trusted: Authority, verdict: Outcome
 ) -> None:
     """One that can't show its name gets nothing: the dispatch is known not to have run."""
 
@@ -268,8 +268,8 @@
         assert asking.look() is Step.TAKE
         link = EngineLink(1.0, 10, 10.0, 1.0, 65_536, 0.3, tls=asking.context)
         heard = Heard()
-        link.send(Endpoint(1, name, Role.READER, "127.0.0.1", server.port), "d.0", {}, None, "", 2.0, heard)
-        assert await heard.verdict is verdict and len(asked) == (verdict is Verdict.READ)
+        link.send(Endpoint(1, name, Role.PREFILL, "127.0.0.1", server.port), "d.0", {}, None, "", 2.0, heard)
+        assert await heard.verdict is verdict and len(asked) == (verdict is Outcome.PREFILLED)
         link.stop()
         server.stop()
 
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -3,12 +3,12 @@
 import pytest
 from conftest import Bench
 
-from heathford.interface import PART_ARRIVED, GivenUp, Verdict
+from heathford.interface import PART_ARRIVED, GiveUpReason, Outcome
 from heathford.policy.transfer import (
     KNOWN_FOR,
     LATE_BY,
     LONG,
-    LOOK_EVERY,
+    PROGRESS_CHECK_INTERVAL,
     PRESUMED_RATE,
     STALLED_AFTER,
     TIDIED_AT,
@@ -34,31 +34,34 @@
 
 @pytest.mark.parametrize(
     "rate, state",
-    [(0.0, SendState.STALLED), (PRESUMED_RATE / 4, SendState.BEHIND), (PRESUMED_RATE, SendState.MOVES)],
+    [(0.0, SendState.STALLED), (PRESUMED_RATE / 4, SendState.BEHIND), (PRESUMED_RATE, SendState.PROGRESSING)],
 )
 def test_a_send_that_moves_is_given_up_only_where_its_deadline_would_be_wrong(
     rate: float, state: SendState
 ) -> None:
-    send = TransferRates().begin(1, SIZE, 4.0, 0.0)
-    states = [send.look(step * LOOK_EVERY, int(step * LOOK_EVERY * rate)) for step in range(1, 30)]
-    ended = next((step for step, found in enumerate(states, 1) if found is not SendState.MOVES), 0)
-    if state is SendState.MOVES:
-        assert ended * LOOK_EVERY > SIZE / rate
+    send = TransferRates().start(1, SIZE, 4.0, 0.0)
+    states = [
+        send.check_progress(step * PROGRESS_CHECK_INTERVAL, int(step * PROGRESS_CHECK_INTERVAL * rate))
+        for step in range(1, 30)
+    ]
+    ended = next((step for step, found in enumerate(states, 1) if found is not SendState.PROGRESSING), 0)
+    if state is SendState.PROGRESSING:
+        assert ended * PROGRESS_CHECK_INTERVAL > SIZE / rate
     else:
-        after = STALLED_AFTER if state is SendState.STALLED else send.promised + LATE_BY
+        after = STALLED_AFTER if state is SendState.STALLED else send.reserved_time + LATE_BY
         assert states[ended - 1] is state
-        assert ended * LOOK_EVERY == pytest.approx(after, abs=LOOK_EVERY)
+        assert ended * PROGRESS_CHECK_INTERVAL == pytest.approx(after, abs=PROGRESS_CHECK_INTERVAL)
 
 
 def test_a_hold_up_of_this_process_is_no_stall_and_teaches_no_rate() -> None:
     """Guards against engines passed over for what this process did itself."""
-    send = TransferRates().begin(1, SIZE, 4.0, 0.0)
-    assert send.look(0.15, 0) is SendState.MOVES
-    send.look(0.17, SIZE)
+    send = TransferRates().start(1, SIZE, 4.0, 0.0)
+    assert send.check_progress(0.15, 0) is SendState.PROGRESSING
+    send.check_progress(0.17, SIZE)
     rates = TransferRates()
     rates.observe(send, 0.17)
     expected = rates.expected(1, SIZE, 0.2)
-    assert expected == pytest.approx(3 * LOOK_EVERY)
+    assert expected == pytest.approx(3 * PROGRESS_CHECK_INTERVAL)
 
 
 @pytest.mark.parametrize(
@@ -67,7 +70,7 @@
 def test_a_deadline_leaves_out_what_a_long_send_is_expected_to_take(
     size: int, left: float, promised: float
 ) -> None:
-    assert TransferRates().begin(1, size, left, 0.0).promised == pytest.approx(promised)
+    assert TransferRates().start(1, size, left, 0.0).reserved_time == pytest.approx(promised)
 
 
 def test_rates_fall_at_once_rise_by_halves_and_are_forgotten() -> None:
@@ -83,12 +86,15 @@
 
 def test_a_short_send_that_falls_behind_teaches_its_rate() -> None:
     """Guards against one that is given up at each try, as nothing is learned from it."""
-    send = TransferRates().begin(1, LONG // 2, 4.0, 0.0)
+    send = TransferRates().start(1, LONG // 2, 4.0, 0.0)
     rates = TransferRates()
-    states = [send.look(step * LOOK_EVERY, int(1e5 * step * LOOK_EVERY)) for step in range(1, 6)]
+    states = [
+        send.check_progress(step * PROGRESS_CHECK_INTERVAL, int(1e5 * step * PROGRESS_CHECK_INTERVAL))
+        for step in range(1, 6)
+    ]
     assert states[-1] is SendState.BEHIND
     rates.observe(send, 0.1)
-    assert rates.begin(1, LONG // 2, 4.0, 0.1).promised == pytest.approx(1.25 * LONG / 2 / 1e5)
+    assert rates.start(1, LONG // 2, 4.0, 0.1).reserved_time == pytest.approx(1.25 * LONG / 2 / 1e5)
     assert rates.matters(100, 0.1) and not rates.matters(100, 0.1 + KNOWN_FOR)
 
 
@@ -110,7 +116,7 @@
     b = Bench(transfers=rates)
     b.engines(READER, WRITER)
     c = b.take(size=SIZE)
-    assert b.asked() == [("rate_limit",)] and c.given_up is GivenUp.TOO_LONG_TO_SEND
+    assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
     assert b.retry_after == 0.0
     b.take(size=LONG // 2)
     assert b.asked() == [("send", READER[0])]
@@ -126,10 +132,10 @@
     b = Bench()
     b.engines(READER, (11, 0), (15, 0), WRITER)
     c = b.take(size=SIZE)
-    b.end(c, Verdict.UNREACHABLE, detail=PART_ARRIVED)
+    b.end(c, Outcome.UNREACHABLE, detail=PART_ARRIVED)
     assert [asked[0] for asked in b.asked()] == ["send", "send"]
-    b.end(c, Verdict.UNREACHABLE, detail=PART_ARRIVED)
-    assert b.asked() == [("rate_limit",)] and c.given_up is GivenUp.TOO_LONG_TO_SEND
+    b.end(c, Outcome.UNREACHABLE, detail=PART_ARRIVED)
+    assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
 
 
 def test_an_engine_that_was_slow_is_asked_again_with_what_was_learned() -> None:
@@ -138,5 +144,5 @@
     b.engines(READER, WRITER)
     c = b.take(size=SIZE)
     rates.observe(sent(READER[0], 8e5), b.now)
-    b.end(c, Verdict.UNSENT, detail=PART_ARRIVED)
+    b.end(c, Outcome.UNSENT, detail=PART_ARRIVED)
     assert b.asked() == [("send", READER[0])] * 2
