--- a/benchmarks/front_cost.py
+++ b/benchmarks/front_cost.py
@@ -20,7 +20,7 @@
 from hdrh.histogram import HdrHistogram
 from tornado.websocket import websocket_connect
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.engines.link import EngineLink
 from heathford.interface import Role, Outcome
 from heathford.local.deployment import Deployment
@@ -50,7 +50,7 @@
         self.times, self.intended = times, intended
         self.over = asyncio.get_running_loop().create_future()
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         return True
 
     def answer_begun(self) -> None: ...
--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from heathford.cli.main import cli
-from heathford.core import taken
+from heathford.core import accepted_request
 from heathford.engines import link
 from heathford.front import memory
 from heathford.identity import identities
@@ -18,32 +18,32 @@
 
 
 def answers_twice() -> None:
-    true = taken.Taken.finish
+    true = accepted_request.AcceptedRequest.finish
 
-    def finish(self: taken.Taken, reason: str, usage: Any) -> None:
+    def finish(self: accepted_request.AcceptedRequest, reason: str, usage: Any) -> None:
         true(self, reason, usage)
-        self.sink.aborted("seeded")
+        self.response_writer.aborted("seeded")
 
-    taken.Taken.finish = finish  # type: ignore[method-assign]
+    accepted_request.AcceptedRequest.finish = finish  # type: ignore[method-assign]
 
 
 def never_gives_up() -> None:
     router.GIVE_UP_MARGIN = -1e9
     Router.has_eligible_engine = lambda self, request, now, timely=True: True  # type: ignore[method-assign]
-    taken.Taken.overdue = lambda self: None  # type: ignore[method-assign]
+    accepted_request.AcceptedRequest.abort_overdue = lambda self: None  # type: ignore[method-assign]
 
 
 def sends_beside() -> None:
     """A second dispatch at once, as a hedge would be."""
-    true = taken.Taken.send
+    true = accepted_request.AcceptedRequest.send
 
-    def send(self: taken.Taken, engine: int, timeout: float) -> None:
+    def send(self: accepted_request.AcceptedRequest, engine: int, timeout: float) -> None:
         true(self, engine, timeout)
-        out = self.out
-        if out and not out.reading and len(self.dispatches) == 2:
+        out = self.in_flight
+        if out and not out.is_prefill and len(self.attempts) == 2:
             true(self, engine, timeout)
 
-    taken.Taken.send = send  # type: ignore[method-assign]
+    accepted_request.AcceptedRequest.send = send  # type: ignore[method-assign]
 
 
 def forgets_effects() -> None:
--- a/heathford/core/taken.py
+++ b/heathford/core/accepted_request.py
@@ -5,8 +5,8 @@
 
 import structlog
 
-from heathford.core.dispatch import Dispatch
-from heathford.core.doors import Cancellable, Sink
+from heathford.core.engine_attempt import EngineAttempt
+from heathford.core.protocols import Cancellable, ResponseWriter
 from heathford.core.gate import Event, Reason, RequestLife
 from heathford.core.held_state import ReleaseReason
 from heathford.core.prefill_state import PrefillState
@@ -19,13 +19,13 @@
 log = structlog.get_logger()
 
 
-class Taken:
+class AcceptedRequest:
     """A completion that a front handed over, until its final answer and the end of its last dispatch."""
 
     def __init__(
         self,
         core: "Core",
-        sink: Sink,
+        sink: ResponseWriter,
         name: str,
         one_name: bool,
         body: Any,
@@ -33,29 +33,29 @@
         due: float,
         workload: Workload,
     ) -> None:
-        self.core, self.sink, self.name, self.body, self.mark = core, sink, name, body, mark
+        self.core, self.response_writer, self.name, self.body, self.mark = core, sink, name, body, mark
         self.life = RequestLife(name, workload)
         core.history.add(name, "taken")
         self.due = due
         self.one_name: bool = one_name  # one_name: its dispatches are all called as itself
         self.handle: RequestState | None = None
-        self.dispatches: list[Dispatch] = []
-        self.out: Dispatch | None = None
+        self.attempts: list[EngineAttempt] = []
+        self.in_flight: EngineAttempt | None = None
         self.prefill: PrefillState = PrefillState()
         self.over: bool = False  # final answer given, or the client has gone
         self.abandoned: bool = False  # its decision failed: nothing more is asked of its handle
-        self.timer: Cancellable | None = core.loop.call_at(due + core.answer_margin / 2, self.overdue)
+        self.timer: Cancellable | None = core.loop.call_at(due + core.answer_margin / 2, self.abort_overdue)
 
     # What the Router asks for: heathford.interface.RequestActions.
 
     def send(self, engine: int, timeout: float) -> None:
         core = self.core
-        dispatch = Dispatch(self, len(self.dispatches), core.endpoints[engine], core.loop.time())
-        self.dispatches.append(dispatch)
-        self.out = dispatch
+        dispatch = EngineAttempt(self, len(self.attempts), core.endpoints[engine], core.loop.time())
+        self.attempts.append(dispatch)
+        self.in_flight = dispatch
         core.gate.step(self.life, Event.HANDED_OVER)
         dispatch.record("handed over")
-        kv = None if dispatch.reading else self.prefill.transfer
+        kv = None if dispatch.is_prefill else self.prefill.transfer
         try:
             dispatch.call = core.link.send(
                 dispatch.endpoint, dispatch.name, self.body, kv, self.mark, timeout, dispatch
@@ -66,59 +66,59 @@
             core.fault(problem, None)
             dispatch.ended(Outcome.UNSENT, 0, {}, {})
             return
-        if self.prefill.waits and not dispatch.reading:
+        if self.prefill.waits and not dispatch.is_prefill:
             due = max(self.prefill.read_at + core.hold, dispatch.sent + (core.pin_limit - core.hold) / 2)
             dispatch.arrival = core.loop.call_at(due, dispatch.look_for_arrival)
 
     def cancel(self, seq: int) -> None:
-        if seq < len(self.dispatches):
-            self.stop(self.dispatches[seq])
+        if seq < len(self.attempts):
+            self.stop(self.attempts[seq])
 
     def rate_limit(self, retry_after: float) -> None:
         if not self.over and self.core.gate.may_answer_refused(self.life) is not Reason.ALLOWED:
             self.abort("it may have run")
-        elif self.close("rate_limited", self.given_up):
-            self.core.guarded(self.sink, lambda: self.sink.rate_limited(retry_after))
+        elif self.close("rate_limited", self.give_up_reason):
+            self.core.guarded(self.response_writer, lambda: self.response_writer.rate_limited(retry_after))
 
     @property
-    def given_up(self) -> str:
+    def give_up_reason(self) -> str:
         """Why the Router has given it up."""
         why = self.handle.give_up_reason if self.handle else None
         return why.value if why else ""
 
     def abort(self, why: str = "given up") -> None:
         if self.close("aborted", why):
-            self.core.guarded(self.sink, lambda: self.sink.aborted(why))
+            self.core.guarded(self.response_writer, lambda: self.response_writer.aborted(why))
 
     def release(self, reason: ReleaseReason = ReleaseReason.POLICY) -> None:
         """Also once more for what an attempt may have kept at the first release."""
         holder = self.prefill.to_release()
         if holder:
             self.release_from(holder, reason)
-            if self.out:
-                self.out.look_for_life()
+            if self.in_flight:
+                self.in_flight.look_for_life()
 
     # What the front says.
 
-    def leave(self) -> None:
+    def client_left(self) -> None:
         """The client has gone: nothing more is owed. A stream that nobody reads ends."""
         if not self.close("left"):
             return
-        if self.out and self.out.streaming:
-            self.stop(self.out)
-        elif self.out and self.out.call:
+        if self.in_flight and self.in_flight.streaming:
+            self.stop(self.in_flight)
+        elif self.in_flight and self.in_flight.call:
             # Guards against a dispatch that begins once its client has gone: it may still wait for its
             # connection, or for a release. Also where running ones may not be cancelled. Harms nothing.
-            self.out.call.withdraw()
+            self.in_flight.call.withdraw()
         self.core.tell(self, lambda handle: handle.client_left())
 
     # What the core owns.
 
     def finish(self, reason: str, usage: Mapping[str, Any]) -> None:
         if self.close("finished"):
-            self.core.guarded(self.sink, lambda: self.sink.finished(reason, usage))
+            self.core.guarded(self.response_writer, lambda: self.response_writer.finished(reason, usage))
 
-    def release_from(self, dispatch: Dispatch, reason: ReleaseReason) -> None:
+    def release_from(self, dispatch: EngineAttempt, reason: ReleaseReason) -> None:
         """Now, before the next dispatch: one that can't connect, or whose bytes reach nobody, stops no clock,
         and several in a row outlast the pin limit. Where all have one name the link holds what is sent next
         until the release is through, so that it takes no later state. Costs that dispatch a round trip."""
@@ -127,7 +127,7 @@
         held.release_begins()
         self.core.link.release(dispatch.endpoint, dispatch.name, held)
 
-    def prefill_ended_unclear(self, dispatch: Dispatch) -> None:
+    def prefill_ended_unclear(self, dispatch: EngineAttempt) -> None:
         """Guards against a read that ends unseen: its state may wait at the reader though we were never told
         of it, and only its name lets it go. Harms nothing where there is none."""
         self.prefill.unclear = dispatch
@@ -139,7 +139,7 @@
         Costs a release where a further attempt followed."""
         if not self.prefill.unclear:
             return
-        dispatch = self.prefill.unclear_before(self.dispatches[-1])
+        dispatch = self.prefill.unclear_before(self.attempts[-1])
         if dispatch and self.one_name:
             self.release_from(dispatch, ReleaseReason.PREFILL_LATE)
 
@@ -158,36 +158,38 @@
         self.core.check_gone(self)
         return True
 
-    def stop(self, dispatch: Dispatch) -> None:
+    def stop(self, dispatch: EngineAttempt) -> None:
         if dispatch.call and not dispatch.over:
             dispatch.call.cancel()
 
-    def overdue(self) -> None:
+    def abort_overdue(self) -> None:
         """Guards against a completion that the Router lets run out of time, as after a fault of its own: the
         client still gets its answer. Could harm if it came before the Router's own, so it waits past that."""
         self.core.tally.late += 1
-        log.error("overdue", completion=self.name, out=self.out.name if self.out else None)
+        log.error("overdue", completion=self.name, out=self.in_flight.name if self.in_flight else None)
         self.abort("out of time")
-        if self.out:
-            self.stop(self.out)  # and the Router hears how it ended: else it counts it as out for good
+        if self.in_flight:
+            self.stop(self.in_flight)  # and the Router hears how it ended: else it counts it as out for good
         else:
             self.core.tell(self, lambda handle: handle.client_left())
 
     def stream_too_long(self) -> None:
         self.abort("the stream ran past its limit")
-        if self.out:
-            self.stop(self.out)
+        if self.in_flight:
+            self.stop(self.in_flight)
 
     def abandon(self, why: str) -> None:
         """The Router is asked no more about it; all that is out or held for it is released."""
         self.abandoned = True
         self.abort(why)
-        if self.out:
-            self.stop(self.out)
+        if self.in_flight:
+            self.stop(self.in_flight)
         self.release(ReleaseReason.DECISION_FAILED)
 
     @property
     def gone(self) -> bool:
         return (
-            self.over and self.out is None and (self.abandoned or self.handle is None or self.handle.is_done)
+            self.over
+            and self.in_flight is None
+            and (self.abandoned or self.handle is None or self.handle.is_done)
         )
--- a/heathford/core/core.py
+++ b/heathford/core/core.py
@@ -13,11 +13,11 @@
 
 import structlog
 
-from heathford.core.doors import Endpoint, Link, Loop, Sink
+from heathford.core.protocols import Endpoint, Link, Loop, ResponseWriter
 from heathford.core.gate import NOT_LISTED, Gate, Rule, Target
 from heathford.core.held_state import HeldStatistics
 from heathford.core.history import History
-from heathford.core.taken import Taken
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.interface import RoutedRequest, Health, EngineKind, Workload
 from heathford.policy import Router
 
@@ -79,16 +79,18 @@
         self.clock.now = loop.time()
         self.tally = Tally()
         self.history = History(loop.time)
-        self.gate = Gate(self.violated, keyed_repeats=not link.late_reads)
+        self.gate = Gate(self.violated, keyed_repeats=not link.may_read_late)
         self.held_statistics = HeldStatistics()
         self.endpoints: dict[int, Endpoint] = {}
-        self.live: dict[Taken, None] = {}
-        self.touched: dict[Taken, None] = {}  # this turn
-        self.events: list[tuple[Taken | None, Callable[[], None]]] = []
+        self.live: dict[AcceptedRequest, None] = {}
+        self.touched: dict[AcceptedRequest, None] = {}  # this turn
+        self.events: list[tuple[AcceptedRequest | None, Callable[[], None]]] = []
         self.turn_due = False
         self.count = 0
-        self.idle: list[Callable[[], None]] = []  # called once nothing is live
-        self.list_not_taken: Callable[[], None] = lambda: None  # a change of the list has failed: ask anew
+        self.idle_callbacks: list[Callable[[], None]] = []  # called once nothing is live
+        self.on_endpoint_list_failure: Callable[[], None] = (
+            lambda: None
+        )  # a change of the list has failed: ask anew
         self.pin_limit = pin_limit
         self.router = Router(
             self.clock,
@@ -110,7 +112,7 @@
             cold_window,
             read_in_place,
             subscribe,
-            keyed_repeats=not link.late_reads,
+            keyed_repeats=not link.may_read_late,
             transfers=link.transfers,
         )
         self.hold = self.router.decode_wait_limit  # s for which a state may wait for an attempt that arrives
@@ -143,9 +145,9 @@
 
     # What fronts and the list say.
 
-    def take(
+    def accept(
         self,
-        sink: Sink,
+        sink: ResponseWriter,
         workload: int,
         member: int,
         session: str,
@@ -160,7 +162,7 @@
         name: str = "",
         answer_hint: float = 0.0,
         size: int = 0,
-    ) -> Taken:
+    ) -> AcceptedRequest:
         """Takes a completion: lengths in tokens, timeout in s from `received` (else now) after which the
         client gives up. The final answer comes before that, by the sink. name: by which its client and all
         engines know it, where the protocol has one; answer_hint: s that the answer should take, 0 unknown;
@@ -169,7 +171,7 @@
         self.tally.taken += 1
         since = self.loop.time() if received is None else received
         due = since + timeout - self.answer_margin
-        taken = Taken(
+        taken = AcceptedRequest(
             self,
             sink,
             name or f"cmpl-{self.name}-{self.count}",
@@ -202,7 +204,7 @@
         self.happened(taken, begin)
         return taken
 
-    def list_changed(
+    def apply_endpoint_list(
         self, complete: bool, rows: Sequence[tuple[Endpoint, int, int, int, Health, float, float]]
     ) -> None:
         """Rows: endpoint, zone, kind, cell, health, size, started (s on the loop's clock, 0 if long ago)."""
@@ -221,7 +223,7 @@
                 self.router.end_list_update()
             except Exception as problem:
                 self.fault(problem, None)
-                self.list_not_taken()
+                self.on_endpoint_list_failure()
             if len(self.endpoints) > len(self.router.engines):
                 # Engines come and go under ever new names: only those that the Router still holds are kept.
                 self.endpoints = {n: e for n, e in self.endpoints.items() if n in self.router.engines}
@@ -230,11 +232,11 @@
 
     # Turns.
 
-    def happened(self, taken: Taken | None, play: Callable[[], None]) -> None:
+    def happened(self, taken: AcceptedRequest | None, play: Callable[[], None]) -> None:
         self.events.append((taken, play))
         self.turn_soon()
 
-    def tell(self, taken: Taken, say: Callable[[RoutedRequest], None]) -> None:
+    def tell(self, taken: AcceptedRequest, say: Callable[[RoutedRequest], None]) -> None:
         def play() -> None:
             # Also for what was abandoned: else what ends for it now would count as out for good.
             if taken.handle:
@@ -242,7 +244,7 @@
 
         self.happened(taken, play)
 
-    def check_gone(self, taken: Taken) -> None:
+    def check_gone(self, taken: AcceptedRequest) -> None:
         """Something ended for it: the end of this turn sees whether it still lives. Given up while deciding,
         a completion has no event of its own in that turn, and would stay for good."""
         self.touched[taken] = None
@@ -270,8 +272,8 @@
             if taken.gone:
                 taken.release_late_prefill()
                 self.live.pop(taken, None)
-        if not self.live and self.idle:
-            calls, self.idle = self.idle, []
+        if not self.live and self.idle_callbacks:
+            calls, self.idle_callbacks = self.idle_callbacks, []
             for call in calls:
                 call()
 
@@ -288,13 +290,13 @@
                 self.router.waiting = [
                     t.handle
                     for t in self.live
-                    if t.handle and not t.over and t.out is None and not t.abandoned
+                    if t.handle and not t.over and t.in_flight is None and not t.abandoned
                 ]
                 if culprit is None:
                     self.wake(DECIDE_AGAIN)
                     return
 
-    def culprit(self, problem: BaseException) -> Taken | None:
+    def culprit(self, problem: BaseException) -> AcceptedRequest | None:
         """The completion whose handle is in hand in the innermost frame that has one."""
         handles = {id(t.handle): t for t in self.live if t.handle and not t.abandoned}
         found = None
@@ -303,14 +305,14 @@
                 found = handles.get(id(frame.f_locals.get(name)), found)
         return found
 
-    def fault(self, problem: Exception, taken: Taken | None) -> None:
+    def fault(self, problem: Exception, taken: AcceptedRequest | None) -> None:
         self.tally.faults += 1
         log.error("decision failed", completion=taken.name if taken else None, exc_info=problem)
         if taken:
             taken.abandon("its decision failed")
             self.happened(taken, lambda: None)
 
-    def guarded(self, sink: Sink, call: Callable[[], None]) -> None:
+    def guarded(self, sink: ResponseWriter, call: Callable[[], None]) -> None:
         """Guards against a sink that raises: its client is told that its request failed, nobody else hears of
         it. Could harm a client to which part of another answer has gone out; its sink knows."""
         try:
@@ -323,10 +325,10 @@
                 log.error("sink failed", exc_info=second)
 
     @property
-    def open(self) -> int:
+    def open_count(self) -> int:
         return sum(not t.over for t in self.live)
 
-    def told_of_held(self) -> dict[str, float]:
+    def held_state_summary(self) -> dict[str, float]:
         """For the state line: states that are held, and how those that were have ended."""
         now = self.loop.time()
         open_states = [t.prefill.held for t in self.live if t.prefill.held]
--- a/heathford/core/dispatch.py
+++ b/heathford/core/engine_attempt.py
@@ -4,42 +4,42 @@
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from heathford.core.doors import Call, Cancellable, Endpoint
-from heathford.core.gate import Attempt, Event, Reason, Stage
+from heathford.core.protocols import Call, Cancellable, Endpoint
+from heathford.core.gate import GateAttempt, Event, Reason, Stage
 from heathford.core.held_state import HeldStage, HeldState, ReleaseReason, SignOfLife
 from heathford.interface import ANSWERED_BY_ENGINE, NEVER_RAN, Role, Outcome
 from heathford.policy.held_state import TIMER_TOLERANCE, SILENT_AFTER, release_time
 from heathford.policy.transfer import PROGRESS_CHECK_INTERVAL
 
 if TYPE_CHECKING:
-    from heathford.core.taken import Taken
+    from heathford.core.accepted_request import AcceptedRequest
 
 
-class Dispatch:
+class EngineAttempt:
     """One dispatch, as its link tells of it."""
 
-    def __init__(self, taken: "Taken", seq: int, endpoint: Endpoint, now: float) -> None:
+    def __init__(self, taken: "AcceptedRequest", seq: int, endpoint: Endpoint, now: float) -> None:
         self.taken, self.seq, self.endpoint, self.sent = taken, seq, endpoint, now
         self.name = taken.name if taken.one_name else f"{taken.name}.{seq}"
-        self.reading = endpoint.role is Role.PREFILL
+        self.is_prefill = endpoint.role is Role.PREFILL
         self.streaming = self.over = False
         self.arrival: Cancellable | None = None  # the look whether it has arrived
         self.call: Call | None = None
         self.held: HeldState | None = None  # what this prefill attempt has left
-        self.attempt = Attempt(taken.core.target(endpoint.number), self.reading, now)
+        self.attempt = GateAttempt(taken.core.target(endpoint.number), self.is_prefill, now)
         taken.life.attempts.append(self.attempt)
 
     def record(self, event: str, reason: str = "", engine: str = "") -> None:
         self.taken.core.history.add(self.taken.name, event, reason, self.seq, engine or self.endpoint.name)
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         """Guards against an attempt that begins once its client has gone: the end of its connection may lie
         unread behind what it sent ahead, or behind what the loop is busy with. Also against one whose engine
         has begun to drain, or whose window has ended, while it waited for its connection or a release."""
         core, taken = self.taken.core, self.taken
         if self.over or taken.over:
             return False
-        waits = taken.sink.still_waits()  # which may end it
+        waits = taken.response_writer.client_connected()  # which may end it
         if self.over or taken.over:
             return False
         reason = core.gate.may_send(
@@ -107,17 +107,17 @@
         core = self.taken.core
         if self.over or self.streaming or not self.call:
             return
-        if core.link.heard_at(self.endpoint) > self.sent:
+        if core.link.last_received_at(self.endpoint) > self.sent:
             self.record("look for life", SignOfLife.HEARD_SINCE.value)
             return
-        core.link.ask_for_life(self.endpoint, self.name, SILENT_AFTER, self.life_told)
+        core.link.check_liveness(self.endpoint, self.name, SILENT_AFTER, self.life_told)
 
     def life_told(self, alive: bool) -> None:
         """What came of it."""
         if self.over or self.streaming:
             return
         core = self.taken.core
-        alive = alive or core.link.heard_at(self.endpoint) > self.sent
+        alive = alive or core.link.last_received_at(self.endpoint) > self.sent
         self.record("look for life", (SignOfLife.ANSWERS if alive else SignOfLife.SILENT).value)
         if not alive:
             core.tell(self.taken, lambda handle: handle.engine_silent(self.seq))
@@ -128,14 +128,14 @@
             return
         core = self.taken.core
         now, due = core.loop.time(), release_time(self.taken.prefill.read_at, core.pin_limit)
-        if now < due - TIMER_TOLERANCE and self.call.moves():
+        if now < due - TIMER_TOLERANCE and self.call.is_progressing():
             self.arrival = core.loop.call_at(min(now + PROGRESS_CHECK_INTERVAL, due), self.look_for_arrival)
         else:
             self.record("look for arrival", self.call.give_up_unless_arrived().name)
 
     def tokens(self, part: Any) -> None:
         if self.streaming and not self.over and not self.taken.over:
-            self.taken.sink.tokens(part)
+            self.taken.response_writer.tokens(part)
 
     def ended(
         self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
@@ -153,13 +153,13 @@
         latency = now - self.sent
         if verdict in ANSWERED_BY_ENGINE:
             taken.prefill.engine_answered(now)
-        if taken.out is self:
-            taken.out = None
+        if taken.in_flight is self:
+            taken.in_flight = None
         if verdict is Outcome.PREFILLED:
             taken.prefill.was_left(self, answer["kv"], now)
             if taken.abandoned:
                 taken.release(ReleaseReason.REQUEST_OVER)
-        elif self.reading and verdict not in NEVER_RAN:
+        elif self.is_prefill and verdict not in NEVER_RAN:
             taken.prefill_ended_unclear(self)
         elif self.held:
             self.held.end(HeldStage.NEVER_HELD)
--- a/heathford/core/gate.py
+++ b/heathford/core/gate.py
@@ -124,17 +124,17 @@
 
 
 @dataclass(slots=True)
-class Attempt:
+class GateAttempt:
     """One attempt of a request. sent_at: s on the loop's clock."""
 
     target: Target
-    reading: bool
+    is_prefill: bool
     sent_at: float
     verdict: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return not self.reading and self.verdict not in NEVER_RAN
+        return not self.is_prefill and self.verdict not in NEVER_RAN
 
 
 @dataclass(slots=True)
@@ -144,9 +144,9 @@
     name: str
     workload: Workload
     stage: Stage = Stage.OPEN
-    attempts: list[Attempt] = field(default_factory=list)
+    attempts: list[GateAttempt] = field(default_factory=list)
 
-    def earlier_risks(self, attempt: Attempt | None = None) -> list[Attempt]:
+    def earlier_risks(self, attempt: GateAttempt | None = None) -> list[GateAttempt]:
         """Other attempts that may have had an effect."""
         return [other for other in self.attempts if other is not attempt and other.may_have_run]
 
@@ -163,7 +163,7 @@
         self.violations: Counter[Rule] = Counter()
         self.refused: Counter[Reason] = Counter()
 
-    def violation(self, rule: Rule, name: str, what: str) -> None:
+    def record_violation(self, rule: Rule, name: str, what: str) -> None:
         self.violations[rule] += 1
         self.violated(rule, name, what)
 
@@ -175,13 +175,13 @@
         """Take a step if the table allows it; else count a violation and stay."""
         stage = TRANSITIONS.get((life.stage, event))
         if stage is None:
-            self.violation(BROKEN_RULE[event], life.name, f"{event.name} while {life.stage.name}")
+            self.record_violation(BROKEN_RULE[event], life.name, f"{event.name} while {life.stage.name}")
             return False
         life.stage = stage
         return True
 
     def may_send(
-        self, life: RequestLife, attempt: Attempt, target: Target, client_waits: bool, now: float
+        self, life: RequestLife, attempt: GateAttempt, target: Target, client_waits: bool, now: float
     ) -> Reason:
         """Whether the first byte of an attempt may leave now; target: its engine as the list says now."""
         if not client_waits:
@@ -191,15 +191,15 @@
         if len(life.attempts) > 1 and any(
             other.verdict is None for other in life.attempts if other is not attempt
         ):
-            self.violation(Rule.NO_EFFECT_TWICE, life.name, "a second attempt while one is out")
+            self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "a second attempt while one is out")
             return self.refuse(Reason.ANOTHER_OUT)
         if target.health is not Health.ON:
             return self.refuse(Reason.ENGINE_LEAVES)
-        if not attempt.reading:
+        if not attempt.is_prefill:
             return self.may_repeat(life, attempt, target, now)
         return Reason.ALLOWED
 
-    def may_repeat(self, life: RequestLife, attempt: Attempt, target: Target, now: float) -> Reason:
+    def may_repeat(self, life: RequestLife, attempt: GateAttempt, target: Target, now: float) -> Reason:
         """Whether an attempt may run beside what earlier ones may have done."""
         if len(life.attempts) == 1:
             return Reason.ALLOWED
@@ -207,7 +207,9 @@
         if not risks or workload.effect is Effect.IDEMPOTENT:
             return Reason.ALLOWED
         if workload.effect is Effect.NON_IDEMPOTENT or not self.keyed_repeats:
-            self.violation(Rule.NO_EFFECT_TWICE, life.name, "a further attempt after one that may have run")
+            self.record_violation(
+                Rule.NO_EFFECT_TWICE, life.name, "a further attempt after one that may have run"
+            )
             return self.refuse(Reason.MAY_HAVE_RUN)
         if now + STALL_ALLOWANCE - risks[0].sent_at >= workload.key_ttl:
             return self.refuse(Reason.WINDOW_OVER)
@@ -217,7 +219,7 @@
             same_cell = same_zone and other.target.cell == target.cell
             known = same_zone if workload.group is Group.ZONE else same_cell
             if workload.group is not Group.ALL and not known:
-                self.violation(Rule.NO_EFFECT_TWICE, life.name, "a repeat outside its group")
+                self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "a repeat outside its group")
                 return self.refuse(Reason.OUTSIDE_GROUP)
         return Reason.ALLOWED
 
@@ -227,7 +229,7 @@
         known_everywhere = workload.effect is Effect.IDEMPOTENCY_KEYED and workload.group is Group.ALL
         if workload.effect is Effect.IDEMPOTENT or known_everywhere or not life.earlier_risks():
             return Reason.ALLOWED
-        self.violation(Rule.NO_EFFECT_TWICE, life.name, "refused although an attempt may have run")
+        self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "refused although an attempt may have run")
         return self.refuse(Reason.MAY_HAVE_RUN)
 
     def held_until(self, since: float, limit: float) -> float:
@@ -236,7 +238,7 @@
 
     def held_too_long(self, name: str, seconds: float, stage: str) -> None:
         """What prefill left is still held, as far as engines have told."""
-        self.violation(Rule.HELD, name, f"held for {seconds:.3f} s, {stage}")
+        self.record_violation(Rule.HELD, name, f"held for {seconds:.3f} s, {stage}")
 
     def may_close(self, answer_owed: bool, half_read: bool, unread: bool) -> Reason:
         """Whether a client's connection may be shut now."""
--- a/heathford/core/held_state.py
+++ b/heathford/core/held_state.py
@@ -7,7 +7,7 @@
 from collections.abc import Callable
 from enum import Enum
 
-from heathford.core.doors import Cancellable
+from heathford.core.protocols import Cancellable
 
 
 class HeldStage(Enum):
@@ -61,7 +61,7 @@
     """The state of one prefill attempt. since: s on the loop's clock from which the limit counts.
 
     record: writes an event, its reason and an engine to the request's history. It is told of a release by
-    its link (`heathford.core.doors.ReleaseEvents`).
+    its link (`heathford.core.protocols.ReleaseEvents`).
     """
 
     def __init__(
@@ -99,11 +99,11 @@
         self.statistics.ends[stage] += 1
         self.statistics.longest = max(self.statistics.longest, self.clock() - self.begun_at)
 
-    def asked(self, engine: str) -> None:
+    def requested(self, engine: str) -> None:
         """A release is on its way to an engine."""
         self.record("release asked", "", engine)
 
-    def unanswered(self, engine: str, status: int) -> None:
+    def not_confirmed(self, engine: str, status: int) -> None:
         """An engine did not confirm the release; status: of its answer, 0 without one."""
         self.record("release unanswered", f"status {status}" if status else "no answer", engine)
 
--- a/heathford/core/doors.py
+++ b/heathford/core/protocols.py
@@ -11,10 +11,10 @@
 from heathford.policy.transfer import TransferRates
 
 
-class Sink(Protocol):
+class ResponseWriter(Protocol):
     """Where a completion's tokens and its one final answer go; the core calls one of the last three, once."""
 
-    def still_waits(self) -> bool:
+    def client_connected(self) -> bool:
         """Whether the client is still there, as far as this machine knows by now; asked right before an
         attempt begins. False has been told to the core by `leave` as well."""
 
@@ -50,7 +50,7 @@
     def withdraw(self) -> None:
         """Ends it with UNSENT, unless something of it may have left or it has ended."""
 
-    def moves(self) -> bool:
+    def is_progressing(self) -> bool:
         """Whether its bytes are on their way and have moved of late, as far as this machine knows."""
 
     def give_up_unless_arrived(self) -> "Arrival":
@@ -71,10 +71,10 @@
 class ReleaseEvents(Protocol):
     """What a link tells of one release, of each engine by its name or address."""
 
-    def asked(self, engine: str) -> None:
+    def requested(self, engine: str) -> None:
         """The release is on its way to an engine."""
 
-    def unanswered(self, engine: str, status: int) -> None:
+    def not_confirmed(self, engine: str, status: int) -> None:
         """An engine did not confirm it; status: of its answer, 0 where there was none."""
 
     def confirmed(self, engine: str) -> None:
@@ -87,7 +87,7 @@
 class CallEvents(Protocol):
     """What a link tells of one dispatch: any number of tokens, then ended, once, and nothing after it."""
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         """Asked right before the first byte leaves: whether the attempt is to begin. If not, the link ends it
         as UNSENT, unless that has happened meanwhile."""
 
@@ -111,7 +111,7 @@
     may, a repeat could run after the time for which its key is known. transfers: what is known of long sends.
     """
 
-    late_reads: bool
+    may_read_late: bool
     transfers: TransferRates
 
     def send(
@@ -133,10 +133,10 @@
         are called by one name, what is sent under it afterwards starts once this is through. Tells of nothing
         before it has returned."""
 
-    def heard_at(self, endpoint: Endpoint) -> float:
+    def last_received_at(self, endpoint: Endpoint) -> float:
         """When anything came from that engine last, on any connection: s on the loop's clock, else -inf."""
 
-    def ask_for_life(
+    def check_liveness(
         self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
     ) -> None:
         """Tells whether an engine answers anything within that many s; asked by a release of what is held for
@@ -144,14 +144,14 @@
         alive. Tells nothing before it has returned."""
 
 
-class EnginesCountAsAlive:
+class NoLivenessCheck:
     """The part of a `Link` whose protocol has nothing to ask an engine for life with."""
 
-    def heard_at(self, endpoint: Endpoint) -> float:
+    def last_received_at(self, endpoint: Endpoint) -> float:
         """Not followed."""
         return -inf
 
-    def ask_for_life(
+    def check_liveness(
         self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
     ) -> None:
         """Whoever is asked lives."""
--- a/heathford/engines/answers.py
+++ b/heathford/engines/answers.py
@@ -55,7 +55,7 @@
     kv = answer.get("kv_transfer_params")
     if not isinstance(kv, dict):
         raise NonsenseError("a read without kv_transfer_params")
-    return cached(answer.get("usage")), kv
+    return cached_tokens(answer.get("usage")), kv
 
 
 def chunk(data: bytes) -> tuple[str, str, Mapping[str, Any]]:
@@ -73,7 +73,7 @@
     return text, reason, usage
 
 
-def cached(usage: Any) -> int:
+def cached_tokens(usage: Any) -> int:
     details = usage.get("prompt_tokens_details") if isinstance(usage, dict) else None
     count = details.get("cached_tokens", 0) if isinstance(details, dict) else 0
     return count if isinstance(count, int) and count > 0 else 0
--- a/heathford/engines/link.py
+++ b/heathford/engines/link.py
@@ -11,10 +11,10 @@
 import structlog
 from tornado.iostream import IOStream, SSLIOStream, StreamClosedError
 
-from heathford.core.doors import Arrival, CallEvents, Endpoint, EnginesCountAsAlive, ReleaseEvents
+from heathford.core.protocols import Arrival, CallEvents, Endpoint, NoLivenessCheck, ReleaseEvents
 from heathford.core.tasks import Tasks
-from heathford.engines.answers import cached, chunk, load_of, read_answer, verdict_of
-from heathford.engines.pools import Connections, Pools
+from heathford.engines.answers import cached_tokens, chunk, load_of, read_answer, verdict_of
+from heathford.engines.pools import ConnectionPool, ConnectionPools
 from heathford.engines.release_retries import NO_ANSWER, ReleaseRetries
 from heathford.wire.http1 import EventStream, NonsenseError, Response, request
 from heathford.interface import Role, Outcome
@@ -25,12 +25,12 @@
 log = structlog.get_logger()
 
 
-class EngineLink(EnginesCountAsAlive):
+class EngineLink(NoLivenessCheck):
     """connect_timeout, idle and stream_silence in s; connections at most for each engine; source: the local
     address that connections are made from, or empty; pin_limit: s within which a state is released. tls: what
     new connections are made with, if anything; an engine's certificate must name it as the list does."""
 
-    late_reads = True  # a close is no recall: a process reads what its machine has taken before it
+    may_read_late = True  # a close is no recall: a process reads what its machine has taken before it
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self.stream_silence, self.longest_line, self.source = stream_silence, longest_line, source
         self.pin_limit, self.tls = pin_limit, tls
         self.transfers = TransferRates()  # no deadline is told here: sends go on as long as they are wanted
-        self.pools: Pools[IOStream] = Pools(idle, inf)
+        self.pools: ConnectionPools[IOStream] = ConnectionPools(idle, inf)
         self.tasks = Tasks("link")
         self.stopped = False
 
@@ -74,12 +74,12 @@
         while (wait := tries.next_try(loop.time())) is not None:
             if wait:
                 await asyncio.sleep(wait)
-            events.asked(endpoint.name)
+            events.requested(endpoint.name)
             status = await self.delete(endpoint, name, tries.patience(loop.time()))
             if tries.is_over(status):
                 events.confirmed(endpoint.name)
                 return
-            events.unanswered(endpoint.name, max(NO_ANSWER, status))
+            events.not_confirmed(endpoint.name, max(NO_ANSWER, status))
         log.warning("state not let go", engine=endpoint.name, dispatch=name)
         events.failed()
 
@@ -109,12 +109,12 @@
 
     # Connections.
 
-    def pool(self, endpoint: Endpoint) -> Connections[IOStream]:
+    def pool(self, endpoint: Endpoint) -> ConnectionPool[IOStream]:
         return self.pools.pool(endpoint.address, endpoint.port)
 
-    async def connection(self, endpoint: Endpoint, pool: Connections[IOStream]) -> IOStream:
+    async def connection(self, endpoint: Endpoint, pool: ConnectionPool[IOStream]) -> IOStream:
         """A kept one, or a new one. Raises OSError or StreamClosedError where none can be had."""
-        stream = self.pools.idle_one(pool, asyncio.get_running_loop().time())
+        stream = self.pools.take_idle(pool, asyncio.get_running_loop().time())
         if stream:
             stream.set_close_callback(None)
             return stream
@@ -131,7 +131,7 @@
             if self.tls
             else IOStream(sock, read_chunk_size=READ_BYTES)
         )
-        self.pools.opening(pool)
+        self.pools.reserve(pool)
         try:
             await stream.connect((endpoint.address, endpoint.port), endpoint.name if self.tls else None)
         except BaseException:
@@ -139,20 +139,20 @@
             raise
         return stream
 
-    def give_back(self, pool: Connections[IOStream], stream: IOStream, keep: bool) -> None:
+    def give_back(self, pool: ConnectionPool[IOStream], stream: IOStream, keep: bool) -> None:
         if not keep or stream.closed() or self.stopped:
             self.drop(pool, stream)
             return
         now = asyncio.get_running_loop().time()
-        self.pools.sweep(now)
-        self.pools.keep(pool, stream, now)
+        self.pools.close_expired(now)
+        self.pools.add_idle(pool, stream, now)
         # An engine that closes a kept connection is seen at once: a dispatch written into a dead one
         # may have run for all we know, and a completion that can't repeat would be lost by it.
-        stream.set_close_callback(lambda: self.pools.lost(pool, stream))
+        stream.set_close_callback(lambda: self.pools.remove(pool, stream))
 
-    def drop(self, pool: Connections[IOStream], stream: IOStream) -> None:
+    def drop(self, pool: ConnectionPool[IOStream], stream: IOStream) -> None:
         stream.set_close_callback(None)
-        self.pools.lost(pool, stream)
+        self.pools.remove(pool, stream)
         stream.close()
 
     def stop(self) -> None:
@@ -179,7 +179,7 @@
         if self.stream is None:
             self.end(Outcome.UNSENT)
 
-    def moves(self) -> bool:
+    def is_progressing(self) -> bool:
         """Not followed here."""
         return False
 
@@ -226,7 +226,7 @@
         except (StreamClosedError, OSError):
             self.end(Outcome.UNREACHABLE)
             return
-        if self.over or not self.events.wanted():
+        if self.over or not self.events.may_send():
             self.link.give_back(self.pool, stream, True)
             self.end(Outcome.UNSENT)
             return
@@ -279,7 +279,9 @@
             raise NonsenseError("a stream that ends without saying so" if self.begun else "no stream")
         else:
             self.load = load_of(response.trailers.get("endpoint-load-metrics", ""))
-            self.end(Outcome.FINISHED, cached(usage), {"reason": reason, "usage": usage}, keep=response.keep)
+            self.end(
+                Outcome.FINISHED, cached_tokens(usage), {"reason": reason, "usage": usage}, keep=response.keep
+            )
 
     def token(self, text: str) -> None:
         self.heard = asyncio.get_running_loop().time()
--- a/heathford/engines/pools.py
+++ b/heathford/engines/pools.py
@@ -16,47 +16,54 @@
 C = TypeVar("C", bound=Closable)
 
 
-class Connections(Generic[C]):
+class ConnectionPool(Generic[C]):
     """Connections to one address: those idle, newest last, with when they became so; a count of all."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.idle: deque[tuple[C, float]] = deque()
         self.open = 0
-        self.heard_at = -inf  # when anything came on one of them last; s on the loop's clock
+        self.last_received_at = -inf  # when anything came on one of them last; s on the loop's clock
 
 
-class Pools(Generic[C]):
+class ConnectionPools(Generic[C]):
     """idle_life: s for which an idle connection is used again; settled: s for which it is not, yet; most:
     connections in all, by which room is made for a new one; urgent: how many of these are kept back."""
 
-    def __init__(self, idle_life: float, most: float, settled: float = 0.0, urgent: float = 0.0) -> None:
-        self.idle_life, self.most, self.settled, self.urgent = idle_life, most, settled, urgent
-        self.pools: dict[Address, Connections[C]] = {}
+    def __init__(
+        self, max_idle_time: float, max_connections: float, reuse_delay: float = 0.0, urgent: float = 0.0
+    ) -> None:
+        self.max_idle_time, self.max_connections, self.reuse_delay, self.reserved = (
+            max_idle_time,
+            max_connections,
+            reuse_delay,
+            urgent,
+        )
+        self.pools: dict[Address, ConnectionPool[C]] = {}
         self.open = 0
 
-    def pool(self, address: str, port: int) -> Connections[C]:
+    def pool(self, address: str, port: int) -> ConnectionPool[C]:
         """To be asked for anew before each opening: one without connections is not kept."""
-        return self.pools.get((address, port)) or Connections((address, port))
+        return self.pools.get((address, port)) or ConnectionPool((address, port))
 
-    def idle_one(self, pool: Connections[C], now: float) -> C | None:
+    def take_idle(self, pool: ConnectionPool[C], now: float) -> C | None:
         """The one used last, which is the least likely to be closed from the other side."""
         fresh = []
         found = None
         while pool.idle and not found:
             connection, since = pool.idle.pop()
-            if now - since < self.settled:
+            if now - since < self.reuse_delay:
                 fresh.append((connection, since))
-            elif not connection.closed() and now - since < self.idle_life:
+            elif not connection.closed() and now - since < self.max_idle_time:
                 found = connection
             else:
                 connection.close()
         pool.idle.extend(reversed(fresh))
         return found
 
-    def opening(self, pool: Connections[C], urgent: bool = False) -> bool:
+    def reserve(self, pool: ConnectionPool[C], urgent: bool = False) -> bool:
         """Counts a new connection, if there is room for one or an idle one can make way."""
-        if self.open >= (self.most if urgent else self.most - self.urgent):
+        if self.open >= (self.max_connections if urgent else self.max_connections - self.reserved):
             oldest = min((p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0][1], default=None)
             if oldest is None:
                 return False
@@ -66,15 +73,15 @@
         self.open += 1
         return True
 
-    def keep(self, pool: Connections[C], connection: C, now: float) -> None:
+    def add_idle(self, pool: ConnectionPool[C], connection: C, now: float) -> None:
         pool.idle.append((connection, now))
 
-    def heard_addresses(self) -> list[Address]:
+    def addresses_by_last_received(self) -> list[Address]:
         """Of those with a connection on which anything has come, the one that was heard last first."""
-        heard = [pool for pool in self.pools.values() if pool.heard_at > -inf]
-        return [pool.address for pool in sorted(heard, key=lambda pool: -pool.heard_at)]
+        heard = [pool for pool in self.pools.values() if pool.last_received_at > -inf]
+        return [pool.address for pool in sorted(heard, key=lambda pool: -pool.last_received_at)]
 
-    def lost(self, pool: Connections[C], connection: C | None) -> None:
+    def remove(self, pool: ConnectionPool[C], connection: C | None) -> None:
         """Called once for each that was opened. Nothing is left of an address without connections: engines
         come and go under new ones, and a map of all that ever were would grow for as long as a front runs."""
         pool.open -= 1
@@ -89,9 +96,9 @@
             for connection, _ in list(pool.idle):
                 connection.close()
 
-    def sweep(self, now: float) -> None:
+    def close_expired(self, now: float) -> None:
         """Closes what idles too long. Guards against connections to engines that vanished: they stay open
         for good, and each takes a descriptor."""
         for pool in list(self.pools.values()):
-            while pool.idle and now - pool.idle[0][1] >= self.idle_life:
+            while pool.idle and now - pool.idle[0][1] >= self.max_idle_time:
                 pool.idle.popleft()[0].close()
--- a/heathford/engines/release_retries.py
+++ b/heathford/engines/release_retries.py
@@ -2,7 +2,9 @@
 
 TRIES = 4  # within the limit: one lost connection, one slow answer, and one more
 NO_ANSWER = 0  # in place of a status
-RELEASED = frozenset({200, 202, 204, 404, 410})  # after which nothing is held: 404 is a state long gone
+RELEASED_STATUSES = frozenset(
+    {200, 202, 204, 404, 410}
+)  # after which nothing is held: 404 is a state long gone
 
 
 class ReleaseRetries:
@@ -28,4 +30,4 @@
 
     def is_over(self, status: int) -> bool:
         """Whether that answer confirms the release."""
-        return status in RELEASED
+        return status in RELEASED_STATUSES
--- a/heathford/fleet/follow.py
+++ b/heathford/fleet/follow.py
@@ -11,7 +11,7 @@
 from math import isfinite
 from typing import Any
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.fleet.engine_ages import EngineAges, ToldStart
 from heathford.interface import Health, Role
 from heathford.wire.http1 import NonsenseError, json_object
--- a/heathford/fleet/instances.py
+++ b/heathford/fleet/instances.py
@@ -5,7 +5,7 @@
 from math import isfinite
 from typing import Any
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.fleet.engine_ages import EngineAges, ToldStart
 from heathford.fleet.follow import ListError, Row, number_of
 from heathford.interface import Health, Role
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -101,7 +101,9 @@
             seed,
             safety.warm_after,
         )
-        self.registry = Registry(*registry, follower, self.core.list_changed, source=self.declared.address)
+        self.registry = Registry(
+            *registry, follower, self.core.apply_endpoint_list, source=self.declared.address
+        )
         figures = script.only("sessions")
         offers = Offers(
             [
@@ -197,19 +199,19 @@
                 keys.look()
 
     def drain(self) -> None:
-        log.info("draining", open=self.core.open)
+        log.info("draining", open=self.core.open_count)
         self.sockets.stop()
 
     async def stop(self) -> None:
         """Takes nothing new, ends what is held within the stated time, then leaves."""
-        log.info("stopping", open=self.core.open)
+        log.info("stopping", open=self.core.open_count)
         self.server.stop()
         if self.runner:
             await self.runner.stop()
         if not self.sockets.desk.stopping:
             self.sockets.stop()
         idle = asyncio.Event()
-        self.core.idle.append(idle.set)
+        self.core.idle_callbacks.append(idle.set)
         self.sockets.emptied.clear()
         if not self.core.live:
             idle.set()
@@ -221,7 +223,7 @@
                     asyncio.gather(idle.wait(), self.sockets.emptied.wait()), self.stop_within
                 )
             except TimeoutError:
-                log.warning("stopped with completions open", open=self.core.open)
+                log.warning("stopped with completions open", open=self.core.open_count)
                 for taken in list(self.core.live):
                     taken.abandon("the front stopped")
                 await asyncio.sleep(0)
--- a/heathford/fuzz/sessions.py
+++ b/heathford/fuzz/sessions.py
@@ -14,7 +14,7 @@
 
 from heathford.completions.handler import routes
 from heathford.core.core import Core
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.fuzz.frames import VIOLATIONS, Case, frame, handshake, message, random_case, violation
 from heathford.identity.identities import Identities
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Workload
@@ -58,7 +58,7 @@
             answer_margin=0.05,
             stream_limit=20.0,
         )
-        self.core.list_changed(
+        self.core.apply_endpoint_list(
             True,
             [
                 (Endpoint(n, f"e{n}", kinds[n % 2].role, "127.0.0.1", n), 0, n % 2, 1, Health.ON, 1.0, 0.0)
--- a/heathford/identity/shared.py
+++ b/heathford/identity/shared.py
@@ -3,8 +3,8 @@
 from collections.abc import Callable, Mapping
 from typing import Any
 
-from heathford.core.doors import Sink
-from heathford.core.taken import Taken
+from heathford.core.protocols import ResponseWriter
+from heathford.core.accepted_request import AcceptedRequest
 
 
 class Shared:
@@ -14,12 +14,12 @@
     """
 
     def __init__(self, ended: Callable[[], None] = lambda: None) -> None:
-        self.taken: Taken | None = None
+        self.taken: AcceptedRequest | None = None
         self.name = ""  # as clients are told it, once it is taken
         self.told: Mapping[str, Any] = {}  # how it ended, in plain values
-        self.listeners: dict[Sink, None] = {}
+        self.listeners: dict[ResponseWriter, None] = {}
         self.parts: list[str] = []
-        self.final: Callable[[Sink], None] | None = None
+        self.final: Callable[[ResponseWriter], None] | None = None
         self.ended = ended
         self.refused = self.done = False  # how it ended: rate-limited, finished, or neither
 
@@ -27,7 +27,7 @@
     def over(self) -> bool:
         return self.final is not None
 
-    def join(self, listener: Sink) -> None:
+    def join(self, listener: ResponseWriter) -> None:
         if self.parts:
             listener.tokens("".join(self.parts))
         if self.final:
@@ -35,7 +35,7 @@
         else:
             self.listeners[listener] = None
 
-    def leave(self, listener: Sink) -> bool:
+    def leave(self, listener: ResponseWriter) -> bool:
         """True where nobody listens any more."""
         self.listeners.pop(listener, None)
         return not self.listeners
@@ -44,12 +44,12 @@
         """Ends it without an answer: nobody wants it."""
         if not self.over:
             if self.taken:
-                self.taken.leave()
+                self.taken.client_left()
             self.aborted("ended by its client")
 
-    # heathford.core.doors.Sink
+    # heathford.core.protocols.ResponseWriter
 
-    def still_waits(self) -> bool:
+    def client_connected(self) -> bool:
         return True
 
     def tokens(self, text: str) -> None:
@@ -71,7 +71,7 @@
         self.told = {"final": "aborted", "why": why}
         self.settle(lambda listener: listener.aborted(why))
 
-    def settle(self, final: Callable[[Sink], None]) -> None:
+    def settle(self, final: Callable[[ResponseWriter], None]) -> None:
         self.final = final
         listeners, self.listeners = self.listeners, {}
         try:
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -5,7 +5,7 @@
 
 from typing import Any
 
-from heathford.engines.answers import cached
+from heathford.engines.answers import cached_tokens
 from heathford.interface import Outcome
 from heathford.wire.http1 import NonsenseError, Response, json_object
 
@@ -57,7 +57,7 @@
     for line in events.split(b"\n"):
         if line.startswith(b"data: {") and b'"usage"' in line:
             try:
-                return cached(json_object(line[5:]).get("usage"))
+                return cached_tokens(json_object(line[5:]).get("usage"))
             except NonsenseError:
                 return 0  # figures only: the events are passed on as they are
     return 0
--- a/heathford/platform/asking.py
+++ b/heathford/platform/asking.py
@@ -4,8 +4,8 @@
 from collections.abc import Mapping
 
 from heathford.core.core import Core
-from heathford.core.doors import Sink
-from heathford.core.taken import Taken
+from heathford.core.protocols import ResponseWriter
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.wire.http1 import NonsenseError, json_object
 from heathford.wire.requests import Request, RefusedError
 
@@ -35,12 +35,12 @@
 
 def ask(
     core: Core,
-    sink: Sink,
+    sink: ResponseWriter,
     request: Request,
     workloads: Mapping[str, int],
-    open_names: Mapping[str, Taken],
+    open_names: Mapping[str, AcceptedRequest],
     received: float,
-) -> Taken:
+) -> AcceptedRequest:
     """Takes what was asked, or raises RefusedError: before the core has seen any of it. workloads: their
     places by name; open_names: completions that clients hold open here. received: s on the loop's clock from
     which the client's budget counts."""
@@ -87,7 +87,7 @@
         raise RefusedError(400, f"the body is {problem}") from None
     if body.get("stream") is not True or not isinstance(body.get("messages"), list):
         raise RefusedError(400, "the body asks for no stream, or brings no messages")
-    return core.take(
+    return core.accept(
         sink,
         workload,
         0,
--- a/heathford/platform/client_connection.py
+++ b/heathford/platform/client_connection.py
@@ -12,7 +12,7 @@
 
 from heathford.core.core import Core
 from heathford.core.gate import Reason
-from heathford.core.taken import Taken
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.platform.asking import ask
 from heathford.platform.eviction import Idleness
 from heathford.platform.responses import CLOSING, STREAM, whole
@@ -34,7 +34,7 @@
     workloads: Mapping[str, int]
     loop: asyncio.AbstractEventLoop
     connections: "dict[ClientConnection, None]"
-    open: dict[str, Taken]
+    open: dict[str, AcceptedRequest]
     read_ahead: ReadAhead
     refused: Counter[int]
     stopping: bool
@@ -57,7 +57,7 @@
         self.clients = clients
         self.transport: asyncio.Transport | None = None
         self.reader = RequestReader(LONGEST_HEAD, LONGEST_BODY, clients.read_ahead)
-        self.taken: Taken | None = None
+        self.taken: AcceptedRequest | None = None
         self.name = ""  # of the completion that is open
         self.keep = True  # the client goes on after the request in hand
         self.since = clients.loop.time()  # when it connected, was last answered, or began to ask
@@ -102,7 +102,7 @@
         taken = self.taken
         if taken is not None:
             self.forget()
-            taken.leave()
+            taken.client_left()
         self.clients.changed(self)
 
     # Requests.
@@ -259,9 +259,9 @@
         if self.transport:
             self.transport.abort()
 
-    # What the core says: heathford.core.doors.Sink.
+    # What the core says: heathford.core.protocols.ResponseWriter.
 
-    def still_waits(self) -> bool:
+    def client_connected(self) -> bool:
         if self.taken is not None and state_of(self.transport).ended:
             self.leave()
         return self.taken is not None
@@ -288,7 +288,7 @@
         self.answer(b"0\r\n\r\n", keep)
 
     def rate_limited(self, retry_after: float) -> None:
-        keep, why = not self.ends_after, self.taken.given_up if self.taken else ""
+        keep, why = not self.ends_after, self.taken.give_up_reason if self.taken else ""
         self.forget()
         more = f"Retry-After: {retry_after:.3f}\r\n" if retry_after > 0.0 else ""
         self.answer(whole(503, f"busy, nothing was done: {why}", not keep, more), keep)
--- a/heathford/platform/client_server.py
+++ b/heathford/platform/client_server.py
@@ -9,7 +9,7 @@
 import structlog
 
 from heathford.core.core import Core
-from heathford.core.taken import Taken
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.eviction import EvictionQueues
 from heathford.platform.responses import whole
@@ -37,7 +37,7 @@
         self.loop = asyncio.get_running_loop()
         self.connections: dict[ClientConnection, None] = {}
         self.idle = EvictionQueues[ClientConnection]()
-        self.open: dict[str, Taken] = {}  # completions that clients wait for, by the clients' names
+        self.open: dict[str, AcceptedRequest] = {}  # completions that clients wait for, by the clients' names
         self.stopping = False
         self.refuses_from = inf  # s on the loop's clock from which new requests are refused
         self.refused: Counter[int] = Counter()  # by status: what was never taken
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable
 from typing import TYPE_CHECKING
 
-from heathford.core.doors import Arrival, CallEvents, Endpoint
+from heathford.core.protocols import Arrival, CallEvents, Endpoint
 from heathford.interface import PART_ARRIVED, Role, Outcome
 from heathford.platform.answers import Answer
 from heathford.platform.exchange import EngineConnection, Exchange
@@ -57,7 +57,7 @@
         self.expect(max(0.0, self.until - self.loop.time()), self.withdraw)
 
     def begin(self, connection: EngineConnection, data: Callable[[], bytes]) -> None:
-        if not self.events.wanted():
+        if not self.events.may_send():
             self.link.give_back(connection)
             self.end(Outcome.UNSENT)
         else:
@@ -105,7 +105,7 @@
         if self.connection is None or self.connection.unwritten:
             self.end(Outcome.UNSENT)
 
-    def moves(self) -> bool:
+    def is_progressing(self) -> bool:
         """A slow send is no cut: its attempt may yet arrive within the limit of what is held."""
         return self.connection is not None and self.sending is not None and not self.sending.stalled
 
@@ -115,7 +115,7 @@
         closed, whatever it held when it was asked."""
         if self.over or self.begun:
             return Arrival.ANSWERED
-        if self.moves() and self.connection and self.connection.unwritten and self.sending:
+        if self.is_progressing() and self.connection and self.connection.unwritten and self.sending:
             self.give_up_slow_send(self.sending)
             return Arrival.UNSENT
         if self.connection is None or self.connection.unwritten:
--- a/heathford/platform/exchange.py
+++ b/heathford/platform/exchange.py
@@ -12,9 +12,9 @@
 from contextlib import suppress
 from typing import Protocol
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.core.tasks import Tasks
-from heathford.engines.pools import Connections, Pools
+from heathford.engines.pools import ConnectionPool, ConnectionPools
 from heathford.wire.socket_state import state_of, unconfirmed
 
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: some segments, so that it need not wait
@@ -43,7 +43,7 @@
     tasks: Tasks
 
     @property
-    def pools(self) -> "Pools[EngineConnection]": ...
+    def pools(self) -> "ConnectionPools[EngineConnection]": ...
 
     def give_back(self, connection: "EngineConnection") -> None: ...
 
@@ -51,7 +51,7 @@
 class EngineConnection(asyncio.Protocol):
     """One connection to an engine, used by one exchange at a time or idle."""
 
-    def __init__(self, link: ExchangeLink, pool: Connections["EngineConnection"]) -> None:
+    def __init__(self, link: ExchangeLink, pool: ConnectionPool["EngineConnection"]) -> None:
         self.link, self.pool = link, pool
         self.transport: asyncio.Transport | None = None
         self.user: Exchange | None = None
@@ -82,7 +82,7 @@
             self.unwritten = True
 
     def data_received(self, data: bytes) -> None:
-        self.pool.heard_at = self.link.loop.time()
+        self.pool.last_received_at = self.link.loop.time()
         if self.user:
             self.user.heard(data)
         else:
@@ -102,7 +102,7 @@
     def uncount(self) -> None:
         if self.counted:
             self.counted = False
-            self.link.pools.lost(self.pool, self)
+            self.link.pools.remove(self.pool, self)
 
     def not_confirmed(self) -> int:
         """Bytes written that the far machine has not confirmed: those in user space, and the kernel's."""
@@ -151,19 +151,19 @@
         """An idle connection, or a new one within that many s. urgent: one of those kept back for that."""
         pools = self.link.pools
         pool = pools.pool(self.endpoint.address, self.endpoint.port)
-        kept = pools.idle_one(pool, self.loop.time())
+        kept = pools.take_idle(pool, self.loop.time())
         while kept and not kept.quiet():
             kept.close()
-            kept = pools.idle_one(pool, self.loop.time())
+            kept = pools.take_idle(pool, self.loop.time())
         if kept:
             self.begin(kept, data)
-        elif pools.opening(pool, urgent):
+        elif pools.reserve(pool, urgent):
             self.expect(within, self.unreached)
             self.link.tasks.spawn(self.open(pool, data))
         else:
             self.crowded()
 
-    async def open(self, pool: Connections[EngineConnection], data: Callable[[], bytes]) -> None:
+    async def open(self, pool: ConnectionPool[EngineConnection], data: Callable[[], bytes]) -> None:
         connection = EngineConnection(self.link, pool)
         try:
             await asyncio.wait_for(self.connected(connection), self.link.connect_timeout)
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -7,9 +7,9 @@
 
 import structlog
 
-from heathford.core.doors import CallEvents, Endpoint, ReleaseEvents
+from heathford.core.protocols import CallEvents, Endpoint, ReleaseEvents
 from heathford.core.tasks import Tasks
-from heathford.engines.pools import Pools
+from heathford.engines.pools import ConnectionPools
 from heathford.engines.release_retries import NO_ANSWER
 from heathford.interface import Outcome
 from heathford.platform.engine_call import EngineCall
@@ -42,7 +42,7 @@
     """connect_timeout, pin_limit, idle (after which engines close) in s; connections: at most, in all.
     listed: engines that are on, those of the own zone and the others."""
 
-    late_reads = True  # a close is no recall: a process reads what its machine has taken before it
+    may_read_late = True  # a close is no recall: a process reads what its machine has taken before it
 
     def __init__(
         self,
@@ -55,10 +55,10 @@
         self.listed = listed
         self.loop = asyncio.get_running_loop()
         self.connect_timeout, self.pin_limit = connect_timeout, pin_limit
-        self.pools: Pools[EngineConnection] = Pools(
+        self.pools: ConnectionPools[EngineConnection] = ConnectionPools(
             IDLE_PART * idle, connections, SETTLED, kept_back(connections)
         )
-        self.silent_engines = SilentEngines(lambda address: self.pools.pool(*address).heard_at)
+        self.silent_engines = SilentEngines(lambda address: self.pools.pool(*address).last_received_at)
         self.tasks = Tasks("link")
         self.releases: dict[str, StateRelease] = {}  # by completion
         self.unclear: dict[str, UnclearPrefill] = {}  # by request
@@ -142,11 +142,11 @@
             self.again[name].cancel()
         self.again[name] = self.loop.call_later(after, self.release_again, endpoint, name, events, then_after)
 
-    def heard_at(self, endpoint: Endpoint) -> float:
+    def last_received_at(self, endpoint: Endpoint) -> float:
         """When anything came from that engine last, while a connection to it has stood."""
-        return self.pools.pool(endpoint.address, endpoint.port).heard_at
+        return self.pools.pool(endpoint.address, endpoint.port).last_received_at
 
-    def ask_for_life(
+    def check_liveness(
         self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
     ) -> None:
         """By a DELETE, which each engine accepts and answers whatever it holds."""
@@ -165,7 +165,7 @@
         if connection.closed() or self.stopped:
             connection.close()
         else:
-            self.pools.keep(connection.pool, connection, self.loop.time())
+            self.pools.add_idle(connection.pool, connection, self.loop.time())
 
     def nonsense(self, endpoint: Endpoint, problem: NonsenseError) -> None:
         self.spoilt += 1
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -113,7 +113,7 @@
             {c["name"]: place for place, c in enumerate(settings["categories"])},
             descriptors.clients,
         )
-        self.core.list_not_taken = self.ask_again
+        self.core.on_endpoint_list_failure = self.ask_again
         self.watch = DiscoveryClient(*discovery, self.instances, self.list_changed)
         self.ending = asyncio.Event()
         self.known = told.get("known")
@@ -127,7 +127,7 @@
             try:
                 found = self.instances.told_object(self.known, self.loop.time(), time.time())
                 if found:
-                    self.core.list_changed(*found)
+                    self.core.apply_endpoint_list(*found)
             except NonsenseError as problem:
                 log.error("the engines known from before can't be read", why=str(problem))
         self.watch.start()
@@ -171,7 +171,7 @@
         return None
 
     def list_changed(self, change: ListChange) -> None:
-        self.core.list_changed(change.complete, change.rows)
+        self.core.apply_endpoint_list(change.complete, change.rows)
 
     def ask_again(self) -> None:
         """Guards against a list of which half was taken and which counts as current."""
@@ -183,7 +183,7 @@
         self.loop.call_at(now + SWEEP, self.sweep, now + SWEEP)
         self.lag = max(self.lag, now - due if due else 0.0)
         self.clients.sweep(now)
-        self.link.pools.sweep(now)
+        self.link.pools.close_expired(now)
         self.sweeps += 1
         if self.sweeps % TIDY == 0:
             gc.collect()
@@ -211,7 +211,7 @@
             conns=self.link.pools.open,
             version=self.instances.version,
             lag=round(self.lag, 3),
-            held=self.core.told_of_held(),
+            held=self.core.held_state_summary(),
             violations={rule.name: n for rule, n in self.core.gate.violations.items()},
             gate={reason.name: n for reason, n in self.core.gate.refused.items()},
             reasons={": ".join(key): n for key, n in self.core.history.reasons.most_common(REASONS_TOLD)},
@@ -241,7 +241,7 @@
     def terminate(self) -> None:
         if not self.clients.stopping:
             self.clients.stop()
-            log.info("ending", open=self.core.open, clients=len(self.clients.connections))
+            log.info("ending", open=self.core.open_count, clients=len(self.clients.connections))
             self.ending.set()
 
     async def run(self) -> None:
--- a/heathford/platform/release_schedule.py
+++ b/heathford/platform/release_schedule.py
@@ -3,7 +3,7 @@
 from collections.abc import Callable, Iterable, Sequence
 from hashlib import blake2b
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.engines.pools import Address
 from heathford.interface import Role
 
--- a/heathford/platform/state_release.py
+++ b/heathford/platform/state_release.py
@@ -6,9 +6,9 @@
 
 import structlog
 
-from heathford.core.doors import Endpoint, ReleaseEvents
+from heathford.core.protocols import Endpoint, ReleaseEvents
 from heathford.engines.pools import Address
-from heathford.engines.release_retries import NO_ANSWER, RELEASED
+from heathford.engines.release_retries import NO_ANSWER, RELEASED_STATUSES
 from heathford.platform.answers import LONGEST_LINE
 from heathford.platform.exchange import Exchange
 from heathford.platform.release_schedule import HOLDER_AT_ONCE, LEAST_ASKED, ReleaseSchedule, next_to_ask
@@ -152,7 +152,7 @@
 
     def other_endpoint(self, is_silent: Callable[[Address], bool]) -> Endpoint | None:
         near, far = self.link.listed()
-        kept = self.link.pools.heard_addresses()
+        kept = self.link.pools.addresses_by_last_received()
         return next_to_ask(self.name, self.asked, kept, near, far, is_silent)
 
     def is_silent(self, address: Address) -> bool:
@@ -163,7 +163,7 @@
         schedule.was_asked(now)
         call = ReleaseCall(self.link, endpoint, self.name, max(0.0, schedule.over_at - now))
         self.calls[call.status] = call
-        self.tell(lambda events: events.asked(call.engine))
+        self.tell(lambda events: events.requested(call.engine))
 
     async def confirmed_within(self, wait: float | None, schedule: ReleaseSchedule) -> bool:
         """Wait for answers for that long, or for the next one; whether one confirms the release."""
@@ -172,11 +172,11 @@
             call = self.calls.pop(status)
             if call.endpoint is self.holder and (status.result() > 0 or status.result() == REFUSED):
                 self.holder_answered = True
-            if status.result() in RELEASED:
+            if status.result() in RELEASED_STATUSES:
                 self.tell(lambda events, call=call: events.confirmed(call.engine))  # type: ignore[misc]
                 return True
             self.tell(
-                lambda events, call=call, status=status: events.unanswered(  # type: ignore[misc]
+                lambda events, call=call, status=status: events.not_confirmed(  # type: ignore[misc]
                     call.engine, max(NO_ANSWER, status.result())
                 )
             )
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -8,7 +8,7 @@
 import orjson
 
 from heathford.core.core import Core
-from heathford.core.doors import Cancellable
+from heathford.core.protocols import Cancellable
 from heathford.identity.identities import Found, Identities
 from heathford.identity.shared import Shared
 from heathford.identity.tries import Tries
@@ -306,7 +306,7 @@
         if not good:
             shared.rate_limited(session.desk.retry_after)
             return
-        taken = shared.taken = session.desk.core.take(
+        taken = shared.taken = session.desk.core.accept(
             shared, session=session.name, received=self.received, **self.asked
         )
         shared.name = taken.name
@@ -330,7 +330,7 @@
                 desk.heard(part, desk.now())
         desk.share()
 
-    def still_waits(self) -> bool:
+    def client_connected(self) -> bool:
         return not self.over
 
     def tokens(self, text: str) -> None:
--- a/heathford/standin/link.py
+++ b/heathford/standin/link.py
@@ -5,15 +5,15 @@
 from collections.abc import Mapping
 from typing import Any
 
-from heathford.core.doors import Arrival, CallEvents, Endpoint, EnginesCountAsAlive, ReleaseEvents
+from heathford.core.protocols import Arrival, CallEvents, Endpoint, NoLivenessCheck, ReleaseEvents
 from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
 
-class AnsweringLink(EnginesCountAsAlive):
+class AnsweringLink(NoLivenessCheck):
     """While `held` it says nothing. pace: s between tokens; 0: all at once."""
 
-    late_reads = False  # its engine is in this process
+    may_read_late = False  # its engine is in this process
 
     def __init__(self, pace: float = 0.0) -> None:
         self.pace = pace
@@ -56,7 +56,7 @@
         self.done()
         self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
-    def moves(self) -> bool:
+    def is_progressing(self) -> bool:
         """What was sent has arrived, here."""
         return False
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -8,9 +8,9 @@
 import pytest
 
 from heathford.core.core import Core
-from heathford.core.doors import Arrival, CallEvents, Endpoint, ReleaseEvents
+from heathford.core.protocols import Arrival, CallEvents, Endpoint, ReleaseEvents
 from heathford.core.gate import Gate, Rule
-from heathford.core.taken import Taken
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import RequestState, Router
 from heathford.policy.transfer import TransferRates
@@ -204,7 +204,7 @@
         self.cancelled = True
         self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
-    def moves(self) -> bool:
+    def is_progressing(self) -> bool:
         """What was sent has arrived, here."""
         return False
 
@@ -224,10 +224,10 @@
     def __init__(self) -> None:
         self.told: list[str] = []
 
-    def asked(self, engine: str) -> None:
+    def requested(self, engine: str) -> None:
         self.told.append(f"asked {engine}")
 
-    def unanswered(self, engine: str, status: int) -> None:
+    def not_confirmed(self, engine: str, status: int) -> None:
         self.told.append(f"unanswered {engine} {status}")
 
     def confirmed(self, engine: str) -> None:
@@ -238,7 +238,7 @@
 
 
 class RecordingLink:
-    late_reads = False  # what was sent is read at once, here
+    may_read_late = False  # what was sent is read at once, here
 
     def __init__(self) -> None:
         self.transfers = TransferRates()
@@ -261,10 +261,10 @@
         if self.confirms:
             events.confirmed(endpoint.name)
 
-    def heard_at(self, endpoint: Endpoint) -> float:
+    def last_received_at(self, endpoint: Endpoint) -> float:
         return self.heard.get(endpoint.name, -inf)
 
-    def ask_for_life(
+    def check_liveness(
         self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
     ) -> None:
         self.life_asked.append((endpoint.name, told))
@@ -277,7 +277,7 @@
         self.text: list[str] = []
         self.finals: list[str] = []
 
-    def still_waits(self) -> bool:
+    def client_connected(self) -> bool:
         return True
 
     def tokens(self, text: str) -> None:
@@ -324,7 +324,7 @@
         )
 
     def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
-        self.core.list_changed(
+        self.core.apply_endpoint_list(
             False,
             [
                 (Endpoint(n, f"e{n}", KINDS[kind].role, "127.0.0.1", n), 0, kind, 1, health, 1.0, started)
@@ -333,9 +333,9 @@
         )
         self.loop.turn()
 
-    def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[Client, Taken]:
+    def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[Client, AcceptedRequest]:
         client = Client()
-        taken = self.core.take(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
+        taken = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
         self.loop.turn()
         return client, taken
 
@@ -349,13 +349,13 @@
 def no_violations(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
     """A rule that the gate sees violated fails the test, whatever else it asserts."""
     seen: list[str] = []
-    count = Gate.violation
+    count = Gate.record_violation
 
     def violation(self: Gate, rule: Rule, name: str, what: str) -> None:
         seen.append(f"{rule.name}: {name}: {what}")
         count(self, rule, name, what)
 
-    monkeypatch.setattr(Gate, "violation", violation)
+    monkeypatch.setattr(Gate, "record_violation", violation)
     yield seen
     assert not seen
 
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -7,8 +7,8 @@
 import pytest
 from conftest import Client, Instance
 
-from heathford.core.dispatch import Dispatch
-from heathford.core.taken import Taken
+from heathford.core.engine_attempt import EngineAttempt
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.interface import Effect, Health, Outcome
 from heathford.policy import RequestState
 
@@ -103,7 +103,7 @@
     if when == "streaming":
         i.link.out[-1].events.first_token()
         i.loop.turn()
-    taken.leave()
+    taken.client_left()
     i.loop.pass_time(0.29)
     assert client.finals == [] and not i.core.live and i.core.tally.left == 1
     assert i.link.out[-1].cancelled == (when != "between")
@@ -200,7 +200,7 @@
     client, taken = i.take()
     i.loop.pass_time(10.0)
     assert client.finals == ["aborted: out of time"]
-    taken.dispatches[0].ended(Outcome.CANCELLED, 0, {}, {})
+    taken.attempts[0].ended(Outcome.CANCELLED, 0, {}, {})
     i.loop.turn()
     assert not i.core.live and not any(e.in_flight for e in i.core.router.engines.values())
 
@@ -213,7 +213,7 @@
 def named(new: New, **more: Any) -> tuple[Instance, Any]:
     i = new(**more)
     i.engines(*FLEET)
-    taken = i.core.take(Client(), 0, 0, "s", "", 5000, 0, 100, 4.0, "body", name="c0")
+    taken = i.core.accept(Client(), 0, 0, "s", "", 5000, 0, 100, 4.0, "body", name="c0")
     i.loop.turn()
     return i, taken
 
@@ -230,7 +230,7 @@
     second.events.ended(Outcome.UNREACHABLE, 0, {}, {})
     i.loop.pass_time(0.6)  # the only reader rests
     assert i.link.out[-1] is not second and i.link.released == ["c0"]
-    taken.leave()
+    taken.client_left()
     i.loop.pass_time(0.1)
     assert i.link.out[-1].cancelled and i.link.released == ["c0", "c0"]
 
@@ -284,7 +284,7 @@
         if n % 10 == 0:
             i.engines((n, 0), (n + 1, 1), (n + 2, 2))
             i.engines((n - 10, 0), (n - 9, 1), (n - 8, 2), health=Health.REMOVED)
-        i.core.take(Client(), 0, 0, f"s{n}", f"p{n}", 5000, 100, 100, 4.0, "body", name=f"c{n}")
+        i.core.accept(Client(), 0, 0, f"s{n}", f"p{n}", 5000, 100, 100, 4.0, "body", name=f"c{n}")
         i.loop.turn()
         if i.link.out[-1].engine == f"e{n // 10 * 10}":
             i.link.out[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
@@ -297,8 +297,8 @@
     gc.collect()
     core = i.core
     left = [o for o in gc.get_objects() if isinstance(o, RequestState) and o.router is core.router]
-    held = [o for o in gc.get_objects() if isinstance(o, Taken) and o.core is core]
-    sent = [o for o in gc.get_objects() if isinstance(o, Dispatch) and o.taken.core is core]
+    held = [o for o in gc.get_objects() if isinstance(o, AcceptedRequest) and o.core is core]
+    sent = [o for o in gc.get_objects() if isinstance(o, EngineAttempt) and o.taken.core is core]
     assert len(left) + len(held) + len(sent) <= 10
     assert len(core.endpoints) <= 6 and len(core.router.engines) <= 6
     assert not any(
@@ -313,7 +313,7 @@
     i.engines(*FLEET)
     _, taken = i.take()
     i.link.out[-1].begun = False
-    taken.leave()
+    taken.client_left()
     assert i.link.out[-1].withdrawn
     i.loop.pass_time(10.0)
     assert len(i.link.out) == 1 and not i.core.live
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -9,7 +9,7 @@
 from conftest import Instance
 from raw_peers import Day, decode, front_node, prefill, request, run_day, turns, until
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.interface import Health, Role, Outcome
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.client_server import ClientServer
@@ -55,7 +55,7 @@
     raised = raising(monkeypatch, i.link, "send")
     client, taken = i.take()
     i.loop.pass_time(0.2)
-    assert raised and taken.out is taken.dispatches[1] and not client.finals
+    assert raised and taken.in_flight is taken.attempts[1] and not client.finals
     assert sum(len(engine.in_flight) for engine in i.core.router.engines.values()) == 1
 
 
@@ -80,7 +80,7 @@
     """The drain that stands behind it is acted on. Seen before: the list was left half taken."""
     i = instance()
     i.engines((1, 0), (2, 1))
-    i.core.list_changed(
+    i.core.apply_endpoint_list(
         False,
         [
             (endpoint(3, Role.PREFILL), 0, 99, 1, Health.ON, 1.0, 0.0),  # a kind that nobody knows
@@ -99,7 +99,7 @@
     i = instance()
     i.engines((1, 0), (2, 1), (4, 0))
     again: list[None] = []
-    i.core.list_not_taken = lambda: again.append(None)
+    i.core.on_endpoint_list_failure = lambda: again.append(None)
     raised = raising(monkeypatch, i.core.router, "end_list_update")
     i.engines((1, 0), (4, 0), health=Health.DRAINING)
     i.take()
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -7,7 +7,7 @@
 
 from heathford.core.gate import (
     TRANSITIONS,
-    Attempt,
+    GateAttempt,
     Event,
     Gate,
     Place,
@@ -58,7 +58,7 @@
 def test_an_attempt_begins_only_where_it_waits_for_that(stage: Stage) -> None:
     watched, life = Watched(), life_of()
     life.stage = stage
-    attempt = Attempt(HERE, False, 0.0)
+    attempt = GateAttempt(HERE, False, 0.0)
     life.attempts.append(attempt)
     reason = watched.gate.may_send(life, attempt, HERE, True, 0.0)
     assert reason is (Reason.ALLOWED if stage is Stage.WAITING else Reason.OVER)
@@ -77,7 +77,7 @@
     health: Health, waits: bool, reason: Reason
 ) -> None:
     watched, life = Watched(), life_of()
-    attempt = Attempt(HERE, True, 0.0)
+    attempt = GateAttempt(HERE, True, 0.0)
     life.attempts.append(attempt)
     assert watched.gate.may_send(life, attempt, Place(health, 0, 0), waits, 0.0) is reason
     assert watched.told == []
@@ -89,7 +89,7 @@
     effect: Effect, verdict: Outcome, no_violations: list[str]
 ) -> None:
     watched, life = Watched(), life_of(effect)
-    life.attempts = [Attempt(HERE, False, 0.0, verdict), Attempt(HERE, False, 0.1)]
+    life.attempts = [GateAttempt(HERE, False, 0.0, verdict), GateAttempt(HERE, False, 0.1)]
     never_ran = verdict in (
         Outcome.FULL,
         Outcome.UNREACHABLE,
@@ -109,7 +109,7 @@
 
 def test_a_second_attempt_beside_one_that_is_out_is_a_violation(no_violations: list[str]) -> None:
     watched, life = Watched(), life_of()
-    life.attempts = [Attempt(HERE, True, 0.0), Attempt(HERE, True, 0.1)]
+    life.attempts = [GateAttempt(HERE, True, 0.0), GateAttempt(HERE, True, 0.1)]
     assert watched.gate.may_send(life, life.attempts[1], HERE, True, 0.1) is Reason.ANOTHER_OUT
     assert watched.told == [Rule.NO_EFFECT_TWICE]
     no_violations.clear()
@@ -125,7 +125,7 @@
 )
 def test_the_window_allows_for_a_hold_up(now: float, reason: Reason) -> None:
     watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED)
-    life.attempts = [Attempt(HERE, False, 0.0, Outcome.BROKEN), Attempt(HERE, False, 0.1)]
+    life.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(HERE, False, 0.1)]
     assert watched.gate.may_send(life, life.attempts[1], HERE, True, now) is reason
 
 
@@ -136,7 +136,7 @@
 ) -> None:
     """Guards against a repeat that its engine reads when the key is known no more."""
     watched, life = Watched(keyed_repeats=False), life_of(effect)
-    life.attempts = [Attempt(HERE, False, 0.0, verdict), Attempt(HERE, False, 0.1)]
+    life.attempts = [GateAttempt(HERE, False, 0.0, verdict), GateAttempt(HERE, False, 0.1)]
     allowed = verdict in NEVER_RAN or effect is Effect.IDEMPOTENT
     reason = watched.gate.may_send(life, life.attempts[1], HERE, True, 0.2)
     assert reason is (Reason.ALLOWED if allowed else Reason.MAY_HAVE_RUN)
@@ -160,7 +160,7 @@
     group: Group, target: Target, reason: Reason, no_violations: list[str]
 ) -> None:
     watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED, group)
-    life.attempts = [Attempt(HERE, False, 0.0, Outcome.BROKEN), Attempt(target, False, 0.1)]
+    life.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(target, False, 0.1)]
     assert watched.gate.may_send(life, life.attempts[1], target, True, 0.2) is reason
     no_violations.clear()
 
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -5,7 +5,7 @@
 import pytest
 from conftest import Instance, Out
 
-from heathford.core.doors import Arrival
+from heathford.core.protocols import Arrival
 from heathford.interface import Effect, Outcome
 
 
@@ -34,9 +34,9 @@
     i.link.out[-1].events.ended(Outcome.FULL, 1, {}, {})
     i.loop.turn()
     release = i.link.releases[0]
-    release.asked("e10")
-    release.unanswered("e10", 0)
-    release.asked("e12")
+    release.requested("e10")
+    release.not_confirmed("e10", 0)
+    release.requested("e12")
     release.confirmed("e12")
     assert [line for line in i.core.history.told(name) if line.startswith("release")] == [
         "release: the policy lets it go",
@@ -46,7 +46,7 @@
         "release confirmed",
     ]
     assert [r.engine for r in i.core.history.of(name) if r.event == "release confirmed"] == ["e12"]
-    held = i.core.told_of_held()
+    held = i.core.held_state_summary()
     assert (held["open"], held["released"]) == (0, 1)
 
 
@@ -59,7 +59,7 @@
     i.loop.turn()
     assert "release: its prefill attempt ended unseen" in i.core.history.told(taken.name)
     i.link.releases[0].failed()
-    assert i.core.told_of_held()["unconfirmed"] == 1
+    assert i.core.held_state_summary()["unconfirmed"] == 1
 
 
 def test_the_state_line_tells_how_long_a_state_is_held_and_how_that_ends(
@@ -67,9 +67,9 @@
 ) -> None:
     i, _ = read(instance)
     i.loop.pass_time(0.1)
-    assert i.core.told_of_held() == {"open": 1, "longest": 0.1}
+    assert i.core.held_state_summary() == {"open": 1, "longest": 0.1}
     i.link.out[-1].events.first_token()
-    assert i.core.told_of_held() == {"open": 0, "longest": 0.1, "taken": 1}
+    assert i.core.held_state_summary() == {"open": 0, "longest": 0.1, "taken": 1}
 
 
 def test_a_refusal_says_why(instance: Callable[..., Instance]) -> None:
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -5,7 +5,7 @@
 import orjson
 import pytest
 
-from heathford.engines.pools import Pools
+from heathford.engines.pools import ConnectionPools
 from heathford.fleet.follow import Lines, ListError
 from heathford.fleet.instances import LONGEST, Instances
 from heathford.interface import Health, Role
@@ -170,9 +170,9 @@
 
 
 class Line:
-    def __init__(self, pools: "Pools[Line]", port: int) -> None:
+    def __init__(self, pools: "ConnectionPools[Line]", port: int) -> None:
         self.pools, self.pool, self.shut = pools, pools.pool("h", port), False
-        assert pools.opening(self.pool)
+        assert pools.reserve(self.pool)
 
     def closed(self) -> bool:
         return self.shut
@@ -180,26 +180,26 @@
     def close(self) -> None:
         if not self.shut:
             self.shut = True
-            self.pools.lost(self.pool, self)
+            self.pools.remove(self.pool, self)
 
 
 def test_connections_are_reused_bounded_and_forgotten() -> None:
-    pools: Pools[Line] = Pools(idle_life=10.0, most=3, settled=0.5)
+    pools: ConnectionPools[Line] = ConnectionPools(max_idle_time=10.0, max_connections=3, reuse_delay=0.5)
     one, two = Line(pools, 1), Line(pools, 1)
-    pools.keep(one.pool, one, 1.0)
-    pools.keep(two.pool, two, 2.0)
-    assert pools.idle_one(pools.pool("h", 1), 2.1) is one  # the newer one is not settled yet
-    assert pools.idle_one(pools.pool("h", 1), 3.0) is two
-    assert pools.idle_one(pools.pool("h", 1), 3.0) is None
-    pools.keep(one.pool, one, 3.0)
+    pools.add_idle(one.pool, one, 1.0)
+    pools.add_idle(two.pool, two, 2.0)
+    assert pools.take_idle(pools.pool("h", 1), 2.1) is one  # the newer one is not settled yet
+    assert pools.take_idle(pools.pool("h", 1), 3.0) is two
+    assert pools.take_idle(pools.pool("h", 1), 3.0) is None
+    pools.add_idle(one.pool, one, 3.0)
     three, four = Line(pools, 2), Line(pools, 3)  # the third of three makes one idle make way
     assert one.shut and not two.shut and pools.open == 3
-    assert not pools.opening(pools.pool("h", 4))
+    assert not pools.reserve(pools.pool("h", 4))
     for line in (two, three, four):
-        pools.keep(line.pool, line, 5.0)
-    pools.sweep(14.9)
+        pools.add_idle(line.pool, line, 5.0)
+    pools.close_expired(14.9)
     assert pools.open == 3
-    pools.sweep(15.0)
+    pools.close_expired(15.0)
     assert pools.open == 0 and not pools.pools
 
 
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -10,7 +10,7 @@
 from conftest import Client
 
 from heathford.core.core import Core
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.engines.link import EngineLink
 from heathford.engines.release_retries import TRIES, ReleaseRetries
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
@@ -41,7 +41,7 @@
         self.over = asyncio.Event()
         self.begun = asyncio.Event()
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         return True
 
     def answer_begun(self) -> None: ...
@@ -295,8 +295,8 @@
             Endpoint(n, f"e{n}", Role.COMBINED, "127.0.0.1", server.sockets[0].getsockname()[1])
             for n, server in enumerate(servers, 1)
         ]
-        core.list_changed(True, [(endpoint, 0, 0, 0, Health.ON, 1.0, 0.0) for endpoint in endpoints])
-        core.take(client, 0, 0, "s", "", 50, 0, 20, 1.0, {"prompt": "x"}, mark="key")
+        core.apply_endpoint_list(True, [(endpoint, 0, 0, 0, Health.ON, 1.0, 0.0) for endpoint in endpoints])
+        core.accept(client, 0, 0, "s", "", 50, 0, 20, 1.0, {"prompt": "x"}, mark="key")
         async with asyncio.timeout(5.0):
             while not client.finals:
                 await asyncio.sleep(0.005)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -131,13 +131,13 @@
         store = start.memory.store
         assert store
         seen = []
-        true = start.served.core.take
+        true = start.served.core.accept
 
         def take(*args: Any, **more: Any) -> Any:
             seen.append(json.loads(store.durable.get(kept.SPACE, kept.key_of(0, "k"), store.now) or b"{}"))
             return true(*args, **more)
 
-        start.served.core.take = take  # type: ignore[method-assign]
+        start.served.core.accept = take  # type: ignore[method-assign]
         assert "result" in await start.ask("k")
         assert [s["final"] for s in seen] == ["out"]
 
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -10,7 +10,7 @@
 import pytest
 from conftest import ReleaseHeard
 
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.interface import Role, Outcome
 from heathford.platform.engine_call import EngineCall
 from heathford.platform.link import PlatformLink
@@ -27,7 +27,7 @@
         self.look = look
         self.ends: list[tuple[Outcome, Any]] = []
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         return True
 
     def answer_begun(self) -> None: ...
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -1,7 +1,7 @@
 """A client that has gone gets no attempt, though its close still lies unread in the kernel.
 
 The close stands behind what the client sent ahead, so many turns of the loop come before it is read, and the
-next attempt becomes due. Before each attempt the socket itself is asked (ClientConnection.still_waits).
+next attempt becomes due. Before each attempt the socket itself is asked (ClientConnection.client_connected).
 """
 
 import asyncio
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -353,7 +353,7 @@
             begun = asyncio.ensure_future(stream.__aiter__().__anext__())
             assert await begun == "t"
             if draining:
-                served.core.list_changed(
+                served.core.apply_endpoint_list(
                     False,
                     [(e, 0, n % 2, 1, Health.DRAINING, 1.0, 0.0) for n, e in served.core.endpoints.items()],
                 )
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -10,7 +10,7 @@
 from conftest import Instance, Out, ReleaseHeard
 from raw_peers import Day, RawClient, RawEngine, answer_releases, decode, prefill, request, run_day, until
 
-from heathford.core.doors import Arrival
+from heathford.core.protocols import Arrival
 from heathford.interface import STALL_ALLOWANCE, Effect, Outcome
 from heathford.platform.release_schedule import SPACING
 from heathford.standin.platform import GOOD, READ, WORDS
@@ -273,7 +273,7 @@
     i.engines((10, 0), (12, 1))
     _, taken = i.take()
     i.read()
-    taken.leave()
+    taken.client_left()
     i.loop.pass_time(DUE + 0.01)
     assert i.link.released == [i.link.out[0].name]
 
@@ -321,8 +321,8 @@
     async def day(play: Day) -> None:
         reader = play.engines[0]
         pools = play.node.link.pools
-        pools.open = int(pools.most - pools.urgent)
-        assert pools.urgent >= 1 and not pools.opening(pools.pool("127.0.0.1", 1))
+        pools.open = int(pools.max_connections - pools.reserved)
+        assert pools.reserved >= 1 and not pools.reserve(pools.pool("127.0.0.1", 1))
         heard = ReleaseHeard()
         play.node.link.release(play.node.instances.listed(0)[0][0], "c0", heard)
         (await reader.asked(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -341,7 +341,7 @@
     i.link.out[-1].events.answer_begun()
     i.link.out[-1].events.ended(Outcome.FULL, 0, {}, {})
     i.loop.turn()
-    assert i.link.released == [] and i.core.told_of_held()["open"] == 0
+    assert i.link.released == [] and i.core.held_state_summary()["open"] == 0
 
 
 def test_the_limit_counts_from_the_first_byte_of_prefill_s_answer(
@@ -396,7 +396,7 @@
     i.loop.pass_time(DUE + 0.01)
     i.link.out[1].events.first_token()
     i.loop.pass_time(1.0)
-    assert i.core.told_of_held()["taken"] == 1
+    assert i.core.held_state_summary()["taken"] == 1
 
 
 def test_where_most_engines_are_silent_the_one_that_runs_is_found_in_time(tmp_path: Path) -> None:
@@ -459,7 +459,7 @@
     assert len(i.link.released) == 1
     i.link.out[1].events.ended(verdict, detail, {}, {})
     i.loop.turn()
-    assert len(i.link.released) == 2 and i.core.told_of_held()["released"] == 2
+    assert len(i.link.released) == 2 and i.core.held_state_summary()["released"] == 2
 
 
 def test_what_a_release_left_to_an_attempt_is_released_when_its_client_leaves(
@@ -467,7 +467,7 @@
 ) -> None:
     i = behind_attempt(instance, Effect.IDEMPOTENT)
     i.loop.pass_time(DUE + 0.01)
-    next(iter(i.core.live)).leave()
+    next(iter(i.core.live)).client_left()
     i.loop.turn()
     assert i.link.out[1].cancelled and len(i.link.released) == 2
 
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -12,7 +12,7 @@
 from websockets.asyncio.client import connect
 
 from heathford.client import Aborted, HttpClient, NoFront, WebSocketClient
-from heathford.core.doors import Endpoint
+from heathford.core.protocols import Endpoint
 from heathford.engines.link import EngineLink
 from heathford.fuzz.sessions import Served
 from heathford.interface import Role, Outcome
@@ -226,7 +226,7 @@
     def __init__(self) -> None:
         self.verdict: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
 
-    def wanted(self) -> bool:
+    def may_send(self) -> bool:
         return True
 
     def answer_begun(self) -> None: ...
