--- a/heathford/__main__.py
+++ b/heathford/__main__.py
@@ -2,11 +2,11 @@
 
 import sys
 
-from heathford.early_signals import EARLY
+from heathford.early_signals import EARLY_SIGNALS
 
 if __name__ == "__main__":
     if "platform" in sys.argv[1:]:
-        EARLY.hold()  # before all else is loaded, which is most of a start
+        EARLY_SIGNALS.install()  # before all else is loaded, which is most of a start
     from heathford.cli.main import cli
 
     cli(prog_name="heathford")
--- a/heathford/cli/logs.py
+++ b/heathford/cli/logs.py
@@ -5,7 +5,7 @@
 
 import structlog
 
-from heathford.log_stream import LOGS
+from heathford.log_stream import LOG_STREAM
 
 
 def set_up(as_json: bool, level: str) -> None:
@@ -19,7 +19,7 @@
         shared.append(structlog.processors.dict_tracebacks)
     structlog.configure(
         processors=[*shared, shown],
-        logger_factory=structlog.WriteLoggerFactory(LOGS),  # type: ignore[arg-type]
+        logger_factory=structlog.WriteLoggerFactory(LOG_STREAM),  # type: ignore[arg-type]
         wrapper_class=structlog.make_filtering_bound_logger(logging.getLevelNamesMapping()[level.upper()]),
         cache_logger_on_first_use=True,
     )
--- a/heathford/early_signals.py
+++ b/heathford/early_signals.py
@@ -6,13 +6,13 @@
 HELD = (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)
 
 
-class HeldSignals:
+class PendingSignals:
     """What has come since `hold`; nothing else is done about it."""
 
     def __init__(self) -> None:
         self.received: list[signal.Signals] = []
 
-    def hold(self) -> None:
+    def install(self) -> None:
         """Guards against a SIGHUP while modules are loaded, whose default ends a process. An event loop's own
         handlers take the place of these."""
         for number in HELD:
@@ -22,4 +22,4 @@
         self.received.append(signal.Signals(number))
 
 
-EARLY = HeldSignals()
+EARLY_SIGNALS = PendingSignals()
--- a/heathford/log_stream.py
+++ b/heathford/log_stream.py
@@ -39,4 +39,4 @@
         """Nothing is buffered."""
 
 
-LOGS = LossyStream(STANDARD_ERROR)
+LOG_STREAM = LossyStream(STANDARD_ERROR)
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -88,7 +88,7 @@
     def keep(self) -> bool:
         return self.response.keep
 
-    def verdict(self) -> tuple[Outcome, int]:
+    def outcome(self) -> tuple[Outcome, int]:
         """Once it is whole: the verdict and its detail. Raises NonsenseError."""
         status = self.response.status
         if status == 200 and not self.reading:
--- a/heathford/platform/client_connection.py
+++ b/heathford/platform/client_connection.py
@@ -13,7 +13,7 @@
 from heathford.core.core import Core
 from heathford.core.gate import Reason
 from heathford.core.accepted_request import AcceptedRequest
-from heathford.platform.asking import ask
+from heathford.platform.request_acceptance import accept_request
 from heathford.platform.eviction import Idleness
 from heathford.platform.responses import CLOSING, STREAM, whole
 from heathford.wire.request_reader import ReadAhead, Received, RequestReader, Unreadable
@@ -144,7 +144,7 @@
         however long the request stood behind another, and an engine must not be told more."""
         clients = self.clients
         self.begun = False
-        self.taken = ask(clients.core, self, request, clients.workloads, clients.open, began)
+        self.taken = accept_request(clients.core, self, request, clients.workloads, clients.open, began)
         self.name = request.headers["x-call-id"]
         request.body = bytearray()  # the core has it
         clients.open[self.name] = self.taken
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -160,7 +160,7 @@
         try:
             events = self.answer.feed(data)
             done = self.answer.response.done
-            verdict, detail = self.answer.verdict() if done else (Outcome.ERROR, 0)
+            verdict, detail = self.answer.outcome() if done else (Outcome.ERROR, 0)
         except NonsenseError as problem:
             self.link.nonsense(self.endpoint, problem)
             self.end(Outcome.ERROR)
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -18,14 +18,14 @@
 from heathford.core.core import Core
 from heathford.discovery.client import DiscoveryClient
 from heathford.discovery.follower import ListChange
-from heathford.early_signals import EARLY
+from heathford.early_signals import EARLY_SIGNALS
 from heathford.fleet.instances import Instances
-from heathford.log_stream import LOGS
+from heathford.log_stream import LOG_STREAM
 from heathford.platform.client_server import STILL_ASKED, SWEEP, ClientServer
 from heathford.platform.link import PlatformLink
 from heathford.platform.reload import ConfigurationReload
 from heathford.platform.signals import handled_signals
-from heathford.platform.start import StartError, address_of, from_environment, seed_of, told
+from heathford.platform.start import StartError, address_of, from_environment, seed_of, read_configuration
 from heathford.wire.http1 import NonsenseError
 from heathford.wire.socket_state import flags_of
 
@@ -67,22 +67,22 @@
 
 
 class Node:
-    """told: the configuration, checked."""
+    """configuration: the configuration, checked."""
 
     def __init__(
         self,
         name: str,
         listen: tuple[str, int],
         discovery: tuple[str, int],
-        told: Mapping[str, Any],
+        configuration: Mapping[str, Any],
         path: Path,
     ) -> None:
         self.name, self.listen, self.path = name, listen, path
         self.loop = asyncio.get_running_loop()
-        settings = told["settings"]
+        settings = configuration["settings"]
         limits, figures = settings["policyLimits"], figures_of(settings)
         descriptors = Descriptors.of(
-            int(told["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+            int(configuration["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         )
         self.instances = Instances(
             {
@@ -103,7 +103,7 @@
             self.loop,
             self.link,
             name,
-            seed_of(told),
+            seed_of(configuration),
             answer_margin=ANSWER_MARGIN,
             subscribe=settings.get("registryMode") == "subscribe",
             **figures,
@@ -116,7 +116,7 @@
         self.core.on_endpoint_list_failure = self.ask_again
         self.watch = DiscoveryClient(*discovery, self.instances, self.list_changed)
         self.ending = asyncio.Event()
-        self.known = told.get("known")
+        self.known = configuration.get("known")
         self.server: asyncio.Server | None = None
         self.reload = ConfigurationReload(self.loop, path, self.configuration_read).begin
         self.sweeps = 0
@@ -215,7 +215,7 @@
             violations={rule.name: n for rule, n in self.core.gate.violations.items()},
             gate={reason.name: n for reason, n in self.core.gate.refused.items()},
             reasons={": ".join(key): n for key, n in self.core.history.reasons.most_common(REASONS_TOLD)},
-            logs_dropped=LOGS.dropped,
+            logs_dropped=LOG_STREAM.dropped,
             mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
             cpu=round(time.process_time(), 2),
         )
@@ -291,7 +291,7 @@
         )
 
 
-def tell_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
+def log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
     """An exception that a callback or a task let through. Guards against faults that nobody hears of: the
     loop's own words go to a logger that is silent here. What the system refused is no fault of ours."""
     problem = context.get("exception")
@@ -302,9 +302,9 @@
 async def run_node(variables: Mapping[str, str]) -> None:
     """Runs until SIGTERM or SIGINT; SIGHUP has the configuration read again. Raises StartError."""
     loop = asyncio.get_running_loop()
-    loop.set_exception_handler(tell_unhandled)
+    loop.set_exception_handler(log_unhandled)
     name, listen, discovery, path = from_environment(variables)
-    node = Node(name, listen, discovery, told(path), path)
+    node = Node(name, listen, discovery, read_configuration(path), path)
     acts: dict[signal.Signals, Callable[[], None]] = {
         signal.SIGTERM: node.terminate,
         signal.SIGINT: node.terminate,
@@ -312,6 +312,6 @@
         signal.SIGUSR1: node.tell_history,
     }
     with handled_signals(loop, acts):
-        for sign in EARLY.received:
+        for sign in EARLY_SIGNALS.received:
             acts[sign]()
         await node.run()
--- a/heathford/platform/reload.py
+++ b/heathford/platform/reload.py
@@ -7,7 +7,7 @@
 
 import structlog
 
-from heathford.platform.start import StartError, told_anew
+from heathford.platform.start import StartError, reread_configuration
 
 READS = 30  # for one SIGHUP, at most
 READ_AGAIN = 0.1  # s between two of them: 3 s in all, within the 4 s until a new discovery's list counts
@@ -38,7 +38,7 @@
     def read(self, reads_left: int) -> None:
         self.next_read = None
         try:
-            found = told_anew(self.path)
+            found = reread_configuration(self.path)
         except StartError as problem:
             self.failed(problem, reads_left - 1)
         else:
--- a/heathford/platform/asking.py
+++ b/heathford/platform/request_acceptance.py
@@ -33,7 +33,7 @@
     return text
 
 
-def ask(
+def accept_request(
     core: Core,
     sink: ResponseWriter,
     request: Request,
--- a/heathford/platform/start.py
+++ b/heathford/platform/start.py
@@ -48,12 +48,12 @@
     return read_json(path)
 
 
-def told(path: Path) -> dict[str, Any]:
+def read_configuration(path: Path) -> dict[str, Any]:
     """The configuration at a start, checked as far as it will be used. Raises StartError."""
     return checked(read_json_patiently(path))
 
 
-def told_anew(path: Path) -> dict[str, Any]:
+def reread_configuration(path: Path) -> dict[str, Any]:
     """The configuration at a reload: read once, without waiting. Raises StartError."""
     return checked(read_json(path))
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -33,13 +33,13 @@
 ]
 
 
-class Bench:
+class RouterHarness:
     """One instance, its clock, its engines and what was done for each completion."""
 
     def __init__(self, now: float = 100.0, **settings: Any) -> None:
         self.now = now
         self.done: list[tuple[Any, ...]] = []
-        self.patience = 0.0  # s that the last dispatch may take
+        self.attempt_timeout = 0.0  # s that the last dispatch may take
         self.retry_after = -1.0  # s that the last rate-limited client should stay away
         effect, group = settings.pop("effect", Effect.IDEMPOTENT), settings.pop("group", Group.ALL)
         values: dict[str, Any] = dict(
@@ -119,7 +119,7 @@
 
     def send(self, engine: int, timeout: float) -> None:
         assert timeout > 0
-        self.patience = timeout
+        self.attempt_timeout = timeout
         self.done.append(("send", engine))
 
     def cancel(self, seq: int) -> None:
@@ -143,11 +143,11 @@
 
 
 @pytest.fixture
-def bench() -> Callable[..., Bench]:
-    return Bench
+def router_harness() -> Callable[..., RouterHarness]:
+    return RouterHarness
 
 
-class LoopTimer:
+class ManualTimer:
     def __init__(self, when: float, call: Callable[[], None]) -> None:
         self.when, self.call, self.cancelled = when, call, False
 
@@ -155,13 +155,13 @@
         self.cancelled, self.call = True, lambda: None  # as asyncio does: what it would have called is free
 
 
-class StepLoop:
+class ManualLoop:
     """A loop whose time moves only when told to."""
 
     def __init__(self) -> None:
         self.now = 100.0
         self.soon: list[Callable[[], None]] = []
-        self.timers: list[LoopTimer] = []
+        self.timers: list[ManualTimer] = []
 
     def time(self) -> float:
         return self.now
@@ -169,8 +169,8 @@
     def call_soon(self, call: Callable[[], None]) -> None:
         self.soon.append(call)
 
-    def call_at(self, when: float, call: Callable[[], None]) -> LoopTimer:
-        timer = LoopTimer(when, call)
+    def call_at(self, when: float, call: Callable[[], None]) -> ManualTimer:
+        timer = ManualTimer(when, call)
         self.timers.append(timer)
         return timer
 
@@ -192,7 +192,7 @@
         self.now = end
 
 
-class Out:
+class RecordedAttempt:
     """A dispatch as a recording link holds it."""
 
     def __init__(self, engine: str, name: str, kv: Any, events: CallEvents) -> None:
@@ -218,23 +218,23 @@
             self.events.ended(Outcome.UNSENT, 0, {}, {})
 
 
-class ReleaseHeard:
+class RecordingReleaseEvents:
     """What a link tells of one release, as lines."""
 
     def __init__(self) -> None:
-        self.told: list[str] = []
+        self.events: list[str] = []
 
     def requested(self, engine: str) -> None:
-        self.told.append(f"asked {engine}")
+        self.events.append(f"asked {engine}")
 
     def not_confirmed(self, engine: str, status: int) -> None:
-        self.told.append(f"unanswered {engine} {status}")
+        self.events.append(f"unanswered {engine} {status}")
 
     def confirmed(self, engine: str) -> None:
-        self.told.append(f"confirmed {engine}")
+        self.events.append(f"confirmed {engine}")
 
     def failed(self) -> None:
-        self.told.append("failed")
+        self.events.append("failed")
 
 
 class RecordingLink:
@@ -242,18 +242,18 @@
 
     def __init__(self) -> None:
         self.transfers = TransferRates()
-        self.out: list[Out] = []
+        self.attempts: list[RecordedAttempt] = []
         self.released: list[str] = []
         self.confirms = True  # each release, at once
         self.releases: list[ReleaseEvents] = []
-        self.heard: dict[str, float] = {}
-        self.life_asked: list[tuple[str, Callable[[bool], None]]] = []
+        self.last_heard: dict[str, float] = {}
+        self.liveness_checks: list[tuple[str, Callable[[bool], None]]] = []
 
     def send(
         self, endpoint: Endpoint, name: str, body: Any, kv: Any, mark: str, timeout: float, events: CallEvents
-    ) -> Out:
-        self.out.append(Out(endpoint.name, name, kv, events))
-        return self.out[-1]
+    ) -> RecordedAttempt:
+        self.attempts.append(RecordedAttempt(endpoint.name, name, kv, events))
+        return self.attempts[-1]
 
     def release(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
         self.released.append(name)
@@ -262,15 +262,15 @@
             events.confirmed(endpoint.name)
 
     def last_received_at(self, endpoint: Endpoint) -> float:
-        return self.heard.get(endpoint.name, -inf)
+        return self.last_heard.get(endpoint.name, -inf)
 
     def check_liveness(
         self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
     ) -> None:
-        self.life_asked.append((endpoint.name, told))
+        self.liveness_checks.append((endpoint.name, told))
 
 
-class Client:
+class RecordingClient:
     """A sink that keeps what it is told."""
 
     def __init__(self) -> None:
@@ -294,13 +294,13 @@
         self.finals.append(f"aborted: {why}")
 
 
-class Instance:
+class CoreHarness:
     """A core on a loop whose time is told, with a link that records."""
 
     def __init__(
         self, effect: Effect = Effect.IDEMPOTENT, cold_multiple: float = 2.5, may_cancel: bool = True
     ) -> None:
-        self.loop, self.link = StepLoop(), RecordingLink()
+        self.loop, self.link = ManualLoop(), RecordingLink()
         self.core = Core(
             self.loop,
             self.link,
@@ -333,14 +333,14 @@
         )
         self.loop.turn()
 
-    def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[Client, AcceptedRequest]:
-        client = Client()
+    def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[RecordingClient, AcceptedRequest]:
+        client = RecordingClient()
         taken = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
         self.loop.turn()
         return client, taken
 
     def read(self) -> None:
-        out = self.link.out[-1]
+        out = self.link.attempts[-1]
         out.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": out.name}})
         self.loop.turn()
 
@@ -361,5 +361,5 @@
 
 
 @pytest.fixture
-def instance() -> Callable[..., Instance]:
-    return Instance
+def core_harness() -> Callable[..., CoreHarness]:
+    return CoreHarness
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -13,7 +13,7 @@
 from heathford.child_signals import send_signal
 from heathford.standin.platform import Agent, settings
 
-PLATFORM = ("-m", "heathford", "--log", "json", "platform")  # arguments of the interpreter
+PLATFORM_COMMAND = ("-m", "heathford", "--log", "json", "platform")  # arguments of the interpreter
 
 
 def write_configuration(path: Path, discovery: str) -> bytes:
@@ -54,7 +54,7 @@
         agent.close()
 
 
-async def until_said(process: asyncio.subprocess.Process, words: bytes) -> None:
+async def wait_for_log(process: asyncio.subprocess.Process, words: bytes) -> None:
     """Read its log up to a line with these words."""
     assert process.stderr
     while words not in (line := await process.stderr.readline()):
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -18,7 +18,7 @@
 from heathford.event_loop import new_event_loop
 from heathford.platform.link import SETTLED
 from heathford.platform.process import Node
-from heathford.platform.start import told
+from heathford.platform.start import read_configuration
 from heathford.standin.platform import EVENTS, GOOD, READ, Agent, settings
 
 ALL = b"".join(EVENTS)
@@ -37,13 +37,13 @@
         raise AssertionError(f"never came: {why}") from None
 
 
-async def turns(count: int = 60) -> None:
+async def run_loop_turns(count: int = 60) -> None:
     """Let the loop turn that often, and no time pass but what that takes."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
-def at_once(sock: socket.socket) -> None:
+def disable_nagle(sock: socket.socket) -> None:
     """Bytes arrive as they are written: else a small write waits for the one before it to be confirmed."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
@@ -68,14 +68,14 @@
     ).encode() + body
 
 
-class Held:
+class RawConnection:
     """One connection at an engine; `got` is what came on it."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
-        self.got = b""
+        self.received = b""
 
-    def look(self) -> bytes:
+    def read_available(self) -> bytes:
         """Take in what has come; b"" at the end."""
         while self.sock.fileno() >= 0 and readable(self.sock):
             try:
@@ -84,12 +84,12 @@
                 part = b""
             if not part:
                 break
-            self.got += part
-        return self.got
+            self.received += part
+        return self.received
 
     def header(self, name: str) -> str:
         """Of the last request that came."""
-        last = self.look().rpartition(b"POST ")[2].partition(b"\r\n\r\n")[0].decode()
+        last = self.read_available().rpartition(b"POST ")[2].partition(b"\r\n\r\n")[0].decode()
         fields = dict(line.split(": ", 1) for line in last.split("\r\n")[1:])
         return fields[name]
 
@@ -100,8 +100,8 @@
     def __init__(self, uid: str, model: str) -> None:
         self.uid, self.model, self.state, self.boot_ms = uid, model, "SERVING", 0
         self.listener = socket.create_server(("127.0.0.1", 0))
-        self.held: list[Held] = []
-        self.latest: dict[bytes, Held] = {}  # by method: where something came last
+        self.connections: list[RawConnection] = []
+        self.latest: dict[bytes, RawConnection] = {}  # by method: where something came last
 
     @property
     def address(self) -> str:
@@ -124,13 +124,13 @@
     def count(self, method: bytes) -> int:
         """How many requests of that method have come, whole or not."""
         while readable(self.listener):
-            self.held.append(Held(self.listener.accept()[0]))
-            at_once(self.held[-1].sock)
-        for held in self.held:
-            seen = len(held.got)
-            if len(held.look()) > seen:
-                self.latest[b"POST" if b"POST /" in held.got[seen:] else b"DELETE"] = held
-        return sum(held.got.count(method + b" /") for held in self.held)
+            self.connections.append(RawConnection(self.listener.accept()[0]))
+            disable_nagle(self.connections[-1].sock)
+        for held in self.connections:
+            seen = len(held.received)
+            if len(held.read_available()) > seen:
+                self.latest[b"POST" if b"POST /" in held.received[seen:] else b"DELETE"] = held
+        return sum(held.received.count(method + b" /") for held in self.connections)
 
     @property
     def posts(self) -> int:
@@ -140,18 +140,18 @@
     def deletes(self) -> int:
         return self.count(b"DELETE")
 
-    async def asked(self, count: int = 1, method: bytes = b"POST") -> Held:
+    async def wait_for_request(self, count: int = 1, method: bytes = b"POST") -> RawConnection:
         """The connection on which the latest of so many requests came."""
         await until(lambda: self.count(method) >= count, f"{method!r} {count} at {self.uid}")
         return self.latest[method]
 
-    def forget(self) -> None:
+    def reset_counts(self) -> None:
         """Count from here; connections stay."""
-        for held in self.held:
-            held.got = b""
+        for held in self.connections:
+            held.received = b""
 
     def close(self) -> None:
-        for sock in (self.listener, *(held.sock for held in self.held)):
+        for sock in (self.listener, *(held.sock for held in self.connections)):
             sock.close()
 
 
@@ -179,14 +179,14 @@
 
     def __init__(self, node: Node) -> None:
         self.sock = socket.create_connection(node.listen)
-        at_once(self.sock)
-        self.got = b""
+        disable_nagle(self.sock)
+        self.received = b""
         self.ended = False
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.sock.sendall(data)
 
-    def leave(self, how: str) -> None:
+    def disconnect(self, how: str) -> None:
         """closed, reset, or half closed: it has gone, as the protocol page has it."""
         if how == "reset":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
@@ -195,37 +195,37 @@
         else:
             self.sock.close()
 
-    def look(self) -> bytes:
+    def read_available(self) -> bytes:
         while not self.ended and readable(self.sock):
             try:
                 part = self.sock.recv(65_536)
             except OSError:
                 part = b""
-                self.got += b"<reset>"
+                self.received += b"<reset>"
             self.ended = not part
-            self.got += part
-        return self.got
+            self.received += part
+        return self.received
 
     @property
     def answers(self) -> list[int]:
         """Statuses of the answers that have begun."""
-        return [int(part.split(b" ", 1)[0]) for part in self.look().split(b"HTTP/1.1 ")[1:]]
+        return [int(part.split(b" ", 1)[0]) for part in self.read_available().split(b"HTTP/1.1 ")[1:]]
 
     @property
-    def whole(self) -> int:
+    def whole_streams(self) -> int:
         """How many streams have come to their last chunk."""
-        return self.look().count(b"0\r\n\r\n")
+        return self.read_available().count(b"0\r\n\r\n")
 
-    async def until(self, answers: int) -> list[int]:
+    async def wait_for_answers(self, answers: int) -> list[int]:
         await until(lambda: len(self.answers) >= answers, f"{answers} answers, {self.answers} came")
         return self.answers
 
-    async def until_closed(self) -> bytes:
-        await until(lambda: bool(self.look() or True) and self.ended, "an end")
-        return self.got
+    async def wait_until_closed(self) -> bytes:
+        await until(lambda: bool(self.read_available() or True) and self.ended, "an end")
+        return self.received
 
 
-class Day:
+class FrontSetup:
     """A front node, its engines and its discovery."""
 
     def __init__(self, node: Node, agent: Agent, engines: tuple[RawEngine, ...]) -> None:
@@ -236,39 +236,39 @@
         self.clients.append(RawClient(self.node))
         return self.clients[-1]
 
-    def tell(self, *engines: RawEngine) -> None:
+    def publish_entries(self, *engines: RawEngine) -> None:
         """The list has changed."""
         self.agent.say(*(engine.row for engine in engines))
 
     async def answer(self, client: RawClient, name: str) -> None:
         """One request read and written, after which all connections stand idle."""
         reader, writer = self.engines[0], self.engines[1]
-        reads, writes, whole = reader.posts, writer.posts, client.whole
-        client.say(request(name))
-        (await reader.asked(reads + 1)).sock.sendall(READ)
-        (await writer.asked(writes + 1)).sock.sendall(GOOD)
-        await until(lambda: client.whole == whole + 1, "the stream's end")
+        reads, writes, whole = reader.posts, writer.posts, client.whole_streams
+        client.send(request(name))
+        (await reader.wait_for_request(reads + 1)).sock.sendall(READ)
+        (await writer.wait_for_request(writes + 1)).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == whole + 1, "the stream's end")
 
     async def answer_anywhere(self, client: RawClient, name: str) -> None:
         """One request read by the first engine and written by whichever other one is asked."""
         reader, *writers = self.engines
-        reads, whole = reader.posts, client.whole
+        reads, whole = reader.posts, client.whole_streams
         before = [writer.posts for writer in writers]
-        client.say(request(name))
-        (await reader.asked(reads + 1)).sock.sendall(READ)
+        client.send(request(name))
+        (await reader.wait_for_request(reads + 1)).sock.sendall(READ)
         await until(lambda: [writer.posts for writer in writers] != before, "a decode attempt")
         asked = next(w for w, posts in zip(writers, before, strict=True) if w.posts > posts)
         asked.latest[b"POST"].sock.sendall(GOOD)
-        await until(lambda: client.whole == whole + 1, "the stream's end")
-        await self.settled()
+        await until(lambda: client.whole_streams == whole + 1, "the stream's end")
+        await self.wait_until_reusable()
 
-    async def decoding(self, client: RawClient) -> Held:
+    async def submit_until_decode(self, client: RawClient) -> RawConnection:
         """The first request of the day, read by now: the connection of its decode attempt."""
-        client.say(request("c0"))
-        (await self.engines[0].asked()).sock.sendall(READ)
-        return await self.engines[1].asked()
+        client.send(request("c0"))
+        (await self.engines[0].wait_for_request()).sock.sendall(READ)
+        return await self.engines[1].wait_for_request()
 
-    async def settled(self) -> None:
+    async def wait_until_reusable(self) -> None:
         """Until connections to engines that were in use may be used again."""
         await asyncio.sleep(SETTLED + 0.01)
 
@@ -281,7 +281,7 @@
     sockets: int = 256,
     setting: Callable[[dict[str, Any]], None] | None = None,
     **limits: Any,
-) -> AsyncIterator[Day]:
+) -> AsyncIterator[FrontSetup]:
     """A started front node. setting: changes the settings that it is told."""
     agent = Agent()
     agent.engines = list(engines)  # type: ignore[arg-type]
@@ -294,8 +294,8 @@
         orjson.dumps({"discovery": address, "limits": {"sockets": sockets}, "seed": 7, "settings": said})
     )
     host, _, port = address.rpartition(":")
-    node = Node(name, ("127.0.0.1", 0), (host, int(port)), told(path), path)
-    day = Day(node, agent, engines)
+    node = Node(name, ("127.0.0.1", 0), (host, int(port)), read_configuration(path), path)
+    day = FrontSetup(node, agent, engines)
     try:
         async with asyncio.timeout(20.0):
             await node.start()
@@ -316,7 +316,9 @@
         await asyncio.sleep(0)
 
 
-def run_day(folder: Path, day: Callable[[Day], Awaitable[None]], *engines: RawEngine, **more: Any) -> None:
+def run_scenario(
+    folder: Path, day: Callable[[FrontSetup], Awaitable[None]], *engines: RawEngine, **more: Any
+) -> None:
     """Play that against a front node; with one prefill and one decode engine where none are given."""
 
     async def play() -> None:
--- a/tests/test_attempt_left_in_kernel.py
+++ b/tests/test_attempt_left_in_kernel.py
@@ -18,7 +18,16 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, Held, RawEngine, answer_releases, decode, prefill, request, run_day
+from raw_peers import (
+    FrontSetup,
+    RawConnection,
+    RawEngine,
+    answer_releases,
+    decode,
+    prefill,
+    request,
+    run_scenario,
+)
 
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.engine_call import EngineCall
@@ -38,9 +47,9 @@
     return engine
 
 
-def is_whole(held: Held) -> bool:
+def is_whole(held: RawConnection) -> bool:
     """Whether a request has come to its last byte on that connection."""
-    head, separator, body = held.got.partition(b"\r\n\r\n")
+    head, separator, body = held.received.partition(b"\r\n\r\n")
     return bool(separator) and len(body) == int(head.rpartition(b"Content-Length: ")[2].split(b"\r\n")[0])
 
 
@@ -98,24 +107,24 @@
     else:
         monkeypatch.setattr(EngineConnection, "close", held_up(EngineConnection.close, False, engines, ended))
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader = play.engines[0]
         releases = asyncio.create_task(answer_releases(reader))
         client = play.client()
-        client.say(request("c0", request_class="booking", size=size))
+        client.send(request("c0", request_class="booking", size=size))
         reads = 0
         began = time.monotonic()
         while not client.answers and time.monotonic() < began + PATIENCE:
             if reader.posts > reads:
                 reads += 1
-                (await reader.asked(reads)).sock.sendall(READ)
+                (await reader.wait_for_request(reads)).sock.sendall(READ)
             await asyncio.sleep(0.005)
         releases.cancel()
         assert ended, "no attempt was given up"
-        whole = [engine.uid for engine in engines for held in engine.held if is_whole(held)]
+        whole = [engine.uid for engine in engines for held in engine.connections if is_whole(held)]
         assert len(whole) <= 1
         assert not whole or client.answers == [502]
         answers.extend(client.answers)
 
-    run_day(tmp_path, day, prefill(), *engines)
+    run_scenario(tmp_path, day, prefill(), *engines)
     return answers
--- a/tests/test_bootinfo.py
+++ b/tests/test_bootinfo.py
@@ -8,7 +8,7 @@
 
 from heathford.bootinfo import SettingError, figures_of
 from heathford.interface import Effect, Group, Role
-from heathford.platform.start import StartError, told
+from heathford.platform.start import StartError, read_configuration
 from heathford.standin.platform import settings
 
 GUARDED = {"name": "g", "objectiveNs": 10**9, "idempotency": "guarded", "group": "cell", "keyTtlNs": 2e9}
@@ -142,7 +142,7 @@
     config = {"discovery": "h:1", "limits": {}, "settings": changed(where, value)}
     path.write_bytes(orjson.dumps(config))
     with pytest.raises(StartError) as problem:
-        told(path)
+        read_configuration(path)
     assert said in str(problem.value)
 
 
@@ -153,7 +153,7 @@
         orjson.dumps({"discovery": "h:1", "limits": {"sockets": sockets}, "settings": settings()})
     )
     if good:
-        assert told(path)["limits"]["sockets"] == sockets
+        assert read_configuration(path)["limits"]["sockets"] == sockets
         return
     with pytest.raises(StartError, match="limits.sockets is no figure in range"):
-        told(path)
+        read_configuration(path)
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -8,10 +8,10 @@
 from typing import Any
 
 import pytest
-from node_processes import PLATFORM, node_process, until_said, write_configuration
-from raw_peers import Day, run_day, until
+from node_processes import PLATFORM_COMMAND, node_process, wait_for_log, write_configuration
+from raw_peers import FrontSetup, run_scenario, until
 
-from heathford.platform.start import told
+from heathford.platform.start import read_configuration
 from heathford.standin.platform import Agent
 
 FAILURES = 3
@@ -37,11 +37,14 @@
     async def day() -> None:
         with socket.create_server(("127.0.0.1", 0)) as other:
             listen = f"127.0.0.1:{other.getsockname()[1]}"
-            async with node_process(tmp_path, *PLATFORM, listen=listen) as process, asyncio.timeout(10.0):
+            async with (
+                node_process(tmp_path, *PLATFORM_COMMAND, listen=listen) as process,
+                asyncio.timeout(10.0),
+            ):
                 assert process.stderr
                 await process.stderr.readline()
                 other.close()
-                await until_said(process, b'"ready"')
+                await wait_for_log(process, b'"ready"')
 
     asyncio.run(day())
 
@@ -54,7 +57,7 @@
     for number in OF_A_MOMENT:
         with monkeypatch.context() as patch:
             patch.setattr(Path, "read_bytes", Failing(path.read_bytes, number))
-            assert told(path)["discovery"] == "127.0.0.1:1"
+            assert read_configuration(path)["discovery"] == "127.0.0.1:1"
 
 
 def test_a_reload_whose_configuration_can_not_be_read_yet_comes_a_moment_later(
@@ -62,7 +65,7 @@
 ) -> None:
     """Seen before: the front node went on following a discovery that had ended, until the next SIGHUP."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         for half_written in (False, True):
             other = Agent()
             address = await other.open()
@@ -81,4 +84,4 @@
             await other.until_watched()
             other.close()
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -6,8 +6,8 @@
 from typing import Any
 
 import pytest
-from conftest import Instance
-from raw_peers import Day, decode, front_node, prefill, request, run_day, turns, until
+from conftest import CoreHarness
+from raw_peers import FrontSetup, decode, front_node, prefill, request, run_scenario, run_loop_turns, until
 
 from heathford.core.protocols import Endpoint
 from heathford.interface import Health, Role, Outcome
@@ -17,7 +17,7 @@
 from heathford.standin.platform import GOOD, READ
 from heathford.wire.request_reader import RequestReader
 
-Make = Callable[..., Instance]
+Make = Callable[..., CoreHarness]
 
 
 def raising(monkeypatch: pytest.MonkeyPatch, owner: Any, name: str, times: int = 1) -> list[None]:
@@ -35,22 +35,22 @@
 
 
 def test_a_decision_that_no_request_explains_leaves_all_that_wait_waiting(
-    instance: Make, monkeypatch: pytest.MonkeyPatch
+    core_harness: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Seen before: what waited was lost to the decisions, and answered when its time was up."""
-    i = instance()
+    i = core_harness()
     i.engines((1, 0), (2, 1))
     raised = raising(monkeypatch, Router, "send")
     monkeypatch.setattr(i.core, "culprit", lambda problem: None)
     clients = [i.take()[0] for _ in range(2)]
     i.loop.pass_time(0.2)
-    assert raised and len(i.link.out) == 2 and not any(client.finals for client in clients)
+    assert raised and len(i.link.attempts) == 2 and not any(client.finals for client in clients)
 
 
 def test_an_attempt_that_could_not_be_started_is_not_out(
-    instance: Make, monkeypatch: pytest.MonkeyPatch
+    core_harness: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    i = instance()
+    i = core_harness()
     i.engines((1, 0), (2, 1))
     raised = raising(monkeypatch, i.link, "send")
     client, taken = i.take()
@@ -61,9 +61,9 @@
 
 @pytest.mark.parametrize("verdict", [Outcome.PREFILLED, Outcome.BROKEN])
 def test_what_ends_for_an_abandoned_request_is_not_out_at_its_engine_for_good(
-    instance: Make, monkeypatch: pytest.MonkeyPatch, verdict: Outcome
+    core_harness: Make, monkeypatch: pytest.MonkeyPatch, verdict: Outcome
 ) -> None:
-    i = instance(may_cancel=False)
+    i = core_harness(may_cancel=False)
     i.engines((1, 0), (2, 1))
     client, taken = i.take()
     taken.abandon("a fault")
@@ -76,9 +76,9 @@
     return Endpoint(number, f"e{number}", role, "127.0.0.1", number)
 
 
-def test_an_entry_of_the_list_that_raises_costs_only_itself(instance: Make) -> None:
+def test_an_entry_of_the_list_that_raises_costs_only_itself(core_harness: Make) -> None:
     """The drain that stands behind it is acted on. Seen before: the list was left half taken."""
-    i = instance()
+    i = core_harness()
     i.engines((1, 0), (2, 1))
     i.core.apply_endpoint_list(
         False,
@@ -90,13 +90,13 @@
     i.loop.turn()
     assert i.core.tally.faults == 1 and i.core.router.engines[1].health is Health.DRAINING
     i.take()
-    assert not i.link.out
+    assert not i.link.attempts
 
 
 def test_a_list_that_could_not_be_laid_out_sends_nothing_to_what_drains_and_is_asked_for_again(
-    instance: Make, monkeypatch: pytest.MonkeyPatch
+    core_harness: Make, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    i = instance()
+    i = core_harness()
     i.engines((1, 0), (2, 1), (4, 0))
     again: list[None] = []
     i.core.on_endpoint_list_failure = lambda: again.append(None)
@@ -104,7 +104,7 @@
     i.engines((1, 0), (4, 0), health=Health.DRAINING)
     i.take()
     i.loop.pass_time(0.5)
-    assert raised and again and not i.link.out
+    assert raised and again and not i.link.attempts
 
 
 @pytest.mark.parametrize("step", ["rate_limited", "finished", "aborted"])
@@ -113,27 +113,27 @@
 ) -> None:
     raised = raising(monkeypatch, ClientConnection, step)
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client, other = play.client(), play.client()
-        client.say(request("c0", budget=300, request_class="booking"))
-        held = await a.asked()
+        client.send(request("c0", budget=300, request_class="booking"))
+        held = await a.wait_for_request()
         if step != "rate_limited":
             held.sock.sendall(READ)
-            held = await b.asked()
+            held = await b.wait_for_request()
         if step == "finished":
             held.sock.sendall(GOOD)
         if step == "aborted":
             held.sock.close()
         if step == "finished":  # part of the answer has gone out: it ends without its last chunk
-            await client.until_closed()
-            assert client.whole == 0
+            await client.wait_until_closed()
+            assert client.whole_streams == 0
         else:
-            assert await client.until(1) == [502]
+            assert await client.wait_for_answers(1) == [502]
         await play.answer(other, "c1")
         assert raised
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize(
@@ -144,15 +144,15 @@
 ) -> None:
     raised = raising(monkeypatch, owner, name)
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client, other = play.client(), play.client()
-        client.say(request("c0"))
-        assert await client.until(1) == [500]
+        client.send(request("c0"))
+        assert await client.wait_for_answers(1) == [500]
         await play.answer(other, "c1")
         assert raised and a.posts == 1
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_fault_at_one_connection_does_not_end_the_sweeps(
@@ -165,8 +165,8 @@
             first, second = play.client(), play.client()
             await until(lambda: len(raised) == 1, "a sweep")
             await until(lambda: play.node.sweeps >= 3, "further sweeps")
-            await turns()
-            first.look(), second.look()
+            await run_loop_turns()
+            first.read_available(), second.read_available()
             assert first.ended + second.ended == 1
 
     asyncio.run(day())
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -3,7 +3,7 @@
 from itertools import product
 
 import pytest
-from conftest import Instance
+from conftest import CoreHarness
 
 from heathford.core.gate import (
     TRANSITIONS,
@@ -193,7 +193,7 @@
     seconds: float, broken: bool, no_violations: list[str]
 ) -> None:
     """By a timer, with nothing else happening: no engine confirms the release."""
-    i = Instance()
+    i = CoreHarness()
     i.link.confirms = False
     i.engines((10, 0), (12, 1))
     i.take()
@@ -205,12 +205,12 @@
 
 
 def test_a_history_tells_what_happened_to_a_request() -> None:
-    i = Instance()
+    i = CoreHarness()
     i.engines((10, 0), (12, 1))
     i.take()
     i.read()
-    i.link.out[-1].events.first_token()
-    i.link.out[-1].events.ended(Outcome.FINISHED, 0, {}, {})
+    i.link.attempts[-1].events.first_token()
+    i.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
     i.loop.turn()
     assert [(r.event, r.attempt, r.engine) for r in i.core.history.of("cmpl-f-1")] == [
         ("taken", -1, ""),
--- a/tests/test_held_check.py
+++ b/tests/test_held_check.py
@@ -4,7 +4,7 @@
 import time
 from pathlib import Path
 
-from raw_peers import Day, answer_releases, decode, prefill, request, run_day, until
+from raw_peers import FrontSetup, answer_releases, decode, prefill, request, run_scenario, until
 
 from heathford.core.gate import Rule
 from heathford.standin.platform import READ
@@ -18,11 +18,11 @@
 ) -> None:
     """Guards against a rule told as broken that was kept: a call counts once a running engine has it."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader, writer = play.engines
         client = play.client()
-        client.say(request("c0"))
-        (await reader.asked()).sock.sendall(READ)
+        client.send(request("c0"))
+        (await reader.wait_for_request()).sock.sendall(READ)
         read_at = time.monotonic()
         await until(lambda: reader.deletes + writer.deletes > 0, "the release")
         assert time.monotonic() - read_at < LIMIT
@@ -33,4 +33,4 @@
         no_violations.clear()  # told below, not once more as the test ends
         assert play.node.core.gate.violations[Rule.HELD] == 0
 
-    run_day(tmp_path, day, prefill(), decode())
+    run_scenario(tmp_path, day, prefill(), decode())
--- a/tests/test_held_state_processes.py
+++ b/tests/test_held_state_processes.py
@@ -18,7 +18,7 @@
 from engine_processes import FULL_QUEUE, NEVER_ACCEPTS, READS_AND_STOPS, SWALLOWS, EngineProcess
 from raw_peers import request
 
-from heathford.platform.process import tell_unhandled
+from heathford.platform.process import log_unhandled
 from heathford.soak.front import FrontProcess
 from heathford.soak.records import Record
 from heathford.standin.platform import Agent, ScriptedEngine, settings
@@ -183,6 +183,6 @@
 def test_an_exception_that_a_callback_lets_through_is_logged(capsys: pytest.CaptureFixture[str]) -> None:
     structlog.reset_defaults()
     loop = asyncio.new_event_loop()
-    tell_unhandled(loop, {"message": "in a callback", "exception": ValueError("seen")})
+    log_unhandled(loop, {"message": "in a callback", "exception": ValueError("seen")})
     loop.close()
     assert "in a callback" in capsys.readouterr().out
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -3,15 +3,17 @@
 from collections.abc import Callable
 
 import pytest
-from conftest import Instance, Out
+from conftest import CoreHarness, RecordedAttempt
 
 from heathford.core.protocols import Arrival
 from heathford.interface import Effect, Outcome
 
 
-def read(instance: Callable[..., Instance], effect: Effect = Effect.IDEMPOTENT) -> tuple[Instance, str]:
+def read(
+    core_harness: Callable[..., CoreHarness], effect: Effect = Effect.IDEMPOTENT
+) -> tuple[CoreHarness, str]:
     """An instance with one request whose prompt has been read; the request's name."""
-    i = instance(effect)
+    i = core_harness(effect)
     i.link.confirms = False
     i.engines((10, 0), (12, 1), (13, 1))
     _, taken = i.take()
@@ -21,17 +23,17 @@
 
 @pytest.mark.parametrize("found", list(Arrival))
 def test_each_look_for_arrival_tells_what_it_found(
-    instance: Callable[..., Instance], monkeypatch: pytest.MonkeyPatch, found: Arrival
+    core_harness: Callable[..., CoreHarness], monkeypatch: pytest.MonkeyPatch, found: Arrival
 ) -> None:
-    monkeypatch.setattr(Out, "give_up_unless_arrived", lambda out: found)
-    i, name = read(instance)
+    monkeypatch.setattr(RecordedAttempt, "give_up_unless_arrived", lambda out: found)
+    i, name = read(core_harness)
     i.loop.pass_time(0.13)
     assert f"look for arrival: {found.name}" in i.core.history.told(name)
 
 
-def test_each_step_of_a_release_is_told_with_its_engine(instance: Callable[..., Instance]) -> None:
-    i, name = read(instance)
-    i.link.out[-1].events.ended(Outcome.FULL, 1, {}, {})
+def test_each_step_of_a_release_is_told_with_its_engine(core_harness: Callable[..., CoreHarness]) -> None:
+    i, name = read(core_harness)
+    i.link.attempts[-1].events.ended(Outcome.FULL, 1, {}, {})
     i.loop.turn()
     release = i.link.releases[0]
     release.requested("e10")
@@ -50,12 +52,12 @@
     assert (held["open"], held["released"]) == (0, 1)
 
 
-def test_a_release_of_a_prefill_that_ended_unseen_says_so(instance: Callable[..., Instance]) -> None:
-    i = instance()
+def test_a_release_of_a_prefill_that_ended_unseen_says_so(core_harness: Callable[..., CoreHarness]) -> None:
+    i = core_harness()
     i.link.confirms = False
     i.engines((10, 0), (12, 1))
     _, taken = i.take()
-    i.link.out[-1].events.ended(Outcome.BROKEN, 0, {}, {})
+    i.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.turn()
     assert "release: its prefill attempt ended unseen" in i.core.history.told(taken.name)
     i.link.releases[0].failed()
@@ -63,17 +65,17 @@
 
 
 def test_the_state_line_tells_how_long_a_state_is_held_and_how_that_ends(
-    instance: Callable[..., Instance],
+    core_harness: Callable[..., CoreHarness],
 ) -> None:
-    i, _ = read(instance)
+    i, _ = read(core_harness)
     i.loop.pass_time(0.1)
     assert i.core.held_state_summary() == {"open": 1, "longest": 0.1}
-    i.link.out[-1].events.first_token()
+    i.link.attempts[-1].events.first_token()
     assert i.core.held_state_summary() == {"open": 0, "longest": 0.1, "taken": 1}
 
 
-def test_a_refusal_says_why(instance: Callable[..., Instance]) -> None:
-    i = instance()
+def test_a_refusal_says_why(core_harness: Callable[..., CoreHarness]) -> None:
+    i = core_harness()
     i.engines((10, 0))
     client, taken = i.take()
     assert client.finals == ["rate-limited"]
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, decode, prefill, request, run_day, turns, until
+from raw_peers import FrontSetup, decode, prefill, request, run_scenario, run_loop_turns, until
 
 from heathford.standin.platform import GOOD, READ
 
@@ -35,22 +35,24 @@
 def test_no_attempt_at_an_engine_that_began_to_drain_while_its_connection_came_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, place: int, state: str
 ) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         engine = play.engines[place]
         gate = Gate(monkeypatch, play.node.loop, engine.listener.getsockname()[1])
         client = play.client()
-        client.say(request("c0"))
+        client.send(request("c0"))
         if place:
-            (await play.engines[0].asked()).sock.sendall(READ)
+            (await play.engines[0].wait_for_request()).sock.sendall(READ)
         await until(lambda: gate.waiting > 0, "a connection on its way")
         version = play.node.instances.version
         engine.state = state
-        play.tell(engine)
+        play.publish_entries(engine)
         await until(lambda: play.node.instances.version > version, "the drain told")
         gate.opened.set()
-        await turns(200)
+        await run_loop_turns(200)
         assert engine.posts == 0
         other = play.engines[place + 2]
-        (await other.asked()).sock.sendall(GOOD if place else READ)
+        (await other.wait_for_request()).sock.sendall(GOOD if place else READ)
 
-    run_day(tmp_path, day, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9)
+    run_scenario(
+        tmp_path, day, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9
+    )
--- a/tests/test_late_prefill.py
+++ b/tests/test_late_prefill.py
@@ -15,7 +15,7 @@
 from time import monotonic
 
 import pytest
-from raw_peers import Day, RawEngine, answer_releases, request, run_day
+from raw_peers import FrontSetup, RawEngine, answer_releases, request, run_scenario
 
 from heathford.platform.unclear_prefill import FOLLOWED_FOR, UnclearPrefill
 
@@ -38,18 +38,18 @@
 
 
 def test_a_prefill_that_may_end_late_is_released_until_its_engine_has_answered(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader, writer = play.engines
         client = play.client()
-        client.say(request("c0"))
-        await reader.asked()
+        client.send(request("c0"))
+        await reader.wait_for_request()
         answering = asyncio.create_task(answer_releases(writer))
-        client.leave("closed")
+        client.disconnect("closed")
         times = await releases_at(writer, CUT)
         gaps = [later - earlier for earlier, later in pairwise(times)]
         assert max(gaps) <= LIMIT + ALLOWANCE, [round(gap, 3) for gap in gaps]
         reader.count(b"DELETE")
-        reader.forget()  # what was sent to it meanwhile was given up since
+        reader.reset_counts()  # what was sent to it meanwhile was given up since
         back = asyncio.create_task(answer_releases(reader))
         await asyncio.sleep(QUIET_AFTER)
         before = reader.deletes + writer.deletes
@@ -58,7 +58,7 @@
         for task in (answering, back):
             task.cancel()
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -7,7 +7,7 @@
 from typing import Any
 
 import pytest
-from conftest import Client
+from conftest import RecordingClient
 
 from heathford.core.core import Core
 from heathford.core.protocols import Endpoint
@@ -269,7 +269,7 @@
     async def run() -> None:
         engines = [Scripted(says, then), Scripted(says, then)]
         servers = [await asyncio.start_server(e.serve, "127.0.0.1", 0) for e in engines]
-        the_link, client = link(), Client()
+        the_link, client = link(), RecordingClient()
         core = Core(
             asyncio.get_running_loop(),
             the_link,
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import ALL, Node, play, reader, writer
+from test_platform import ALL, NodeProcess, run_scenario, prefill_engine, decode_engine
 
 from heathford.child_signals import send_signal
 from heathford.log_stream import LONGEST_LINE, LossyStream
@@ -62,9 +62,9 @@
 
 def test_a_front_node_serves_on_though_nobody_reads_its_logs(tmp_path: Path) -> None:
     """Entries that can't be read are told: far more lines than the pipe and its reader's buffer hold."""
-    a, b = reader(), writer()
+    a, b = prefill_engine(), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         assert node.process and node.process.stderr
         try:
             for n in range(200):
@@ -78,4 +78,4 @@
             told = (await node.process.stderr.read()).count(b"passed over")
         assert 0 < told < 200 * 11  # each change tells of ten, and of how many more
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -62,7 +62,7 @@
             return b""
 
 
-def asked(
+def request_bytes(
     name: str,
     budget: str = "4000",
     workload: str = "chat",
@@ -80,7 +80,7 @@
     ).encode() + body
 
 
-class Node:
+class NodeProcess:
     """A front node's process, its engines and discovery."""
 
     def __init__(self, folder: Path, *engines: ScriptedEngine) -> None:
@@ -93,7 +93,7 @@
         self,
         sockets: int = 256,
         limited: bool = False,
-        before: Callable[["Node"], None] | None = None,
+        before: Callable[["NodeProcess"], None] | None = None,
         **limits: Any,
     ) -> None:
         """limited: the process may have no more descriptors than it is told. before: called once what the
@@ -153,7 +153,7 @@
 
     async def ask(self, name: str, **more: Any) -> tuple[int, bytes, bool]:
         client = await self.client()
-        client.say(asked(name, **more))
+        client.say(request_bytes(name, **more))
         return await client.answer()
 
     async def stop(self) -> None:
@@ -167,19 +167,19 @@
             await self.process.wait()
 
 
-def reader(*script: str | bytes, uid: str = "r") -> ScriptedEngine:
+def prefill_engine(*script: str | bytes, uid: str = "r") -> ScriptedEngine:
     return ScriptedEngine(uid, "m0", True, *script)
 
 
-def writer(*script: str | bytes, uid: str = "w") -> ScriptedEngine:
+def decode_engine(*script: str | bytes, uid: str = "w") -> ScriptedEngine:
     return ScriptedEngine(uid, "m1", False, *script)
 
 
-def play(
-    folder: Path, engines: list[ScriptedEngine], day: Callable[[Node], Awaitable[None]], **limits: Any
+def run_scenario(
+    folder: Path, engines: list[ScriptedEngine], day: Callable[[NodeProcess], Awaitable[None]], **limits: Any
 ) -> None:
     async def run() -> None:
-        node = Node(folder, *engines)
+        node = NodeProcess(folder, *engines)
         try:
             async with asyncio.timeout(LIMIT):
                 await node.start(**limits)
@@ -192,25 +192,25 @@
 
 
 def test_a_completion_is_read_then_written_and_passed_on_as_it_came(tmp_path: Path) -> None:
-    a, b = reader(), writer()
+    a, b = prefill_engine(), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
         for n in range(3):  # on one connection
-            client.say(asked(f"c{n}"))
+            client.say(request_bytes(f"c{n}"))
             assert await client.answer() == (200, ALL, True)
         assert a.asked == b.asked == [("POST", f"c{n}") for n in range(3)]
         while a.connected == len(a.asked):  # until a kept connection was used: some ms after an answer
-            client.say(asked(f"d{len(a.asked)}"))
+            client.say(request_bytes(f"d{len(a.asked)}"))
             assert await client.answer() == (200, ALL, True)
-        assert a.bodies[0] == b.bodies[0] == asked("x").partition(b"\r\n\r\n")[2]
+        assert a.bodies[0] == b.bodies[0] == request_bytes("x").partition(b"\r\n\r\n")[2]
         assert 0 < int(b.heads[0]["x-budget-ms"]) <= 4000
         client.say(b"GET /health/ready HTTP/1.1\r\n\r\n")
         assert (await client.answer())[0] == 200
-        client.say(asked("c3") + asked("c4"))  # pipelined: in order, one at a time
+        client.say(request_bytes("c3") + request_bytes("c4"))  # pipelined: in order, one at a time
         assert [await client.answer() for _ in range(2)] == [(200, ALL, True)] * 2
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 CUT = (200, EVENTS[0], False)
@@ -245,63 +245,63 @@
 def test_each_way_an_engine_can_end_a_dispatch(
     tmp_path: Path, workload: str, read: list[Any], write: list[Any], answer: Any, sent: int
 ) -> None:
-    a, b = reader(*read), writer(*write)
+    a, b = prefill_engine(*read), decode_engine(*write)
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         found = await node.ask("c0", workload=workload)
         assert found == answer if isinstance(answer, tuple) else found[0] == answer
         assert b.asked.count(("POST", "c0")) == sent
         # What came behind an answer is nobody's: the next gets its own.
         assert await node.ask("c1", workload=workload) == (200, ALL, True)
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_a_stream_spoilt_after_its_first_event_ends_without_the_last_chunk(tmp_path: Path) -> None:
-    a, b = reader(), writer("spoil")
+    a, b = prefill_engine(), decode_engine("spoil")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(asked("c0"))
+        client.say(request_bytes("c0"))
         assert (await client.head())[0] == 200
         assert (await client.reader.readuntil(b"\n\n\r\n")).endswith(EVENTS[0] + b"\r\n")
         b.held.set()
         assert await client.closed() == b"" and b.asked == [("POST", "c0")]
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_an_engine_that_can_not_be_reached_is_passed_over(tmp_path: Path) -> None:
-    a, b, dead = reader(), writer(), writer(uid="dead")
+    a, b, dead = prefill_engine(), decode_engine(), decode_engine(uid="dead")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         dead.close()
         for n in range(6):
             assert await node.ask(f"c{n}", workload="booking") == (200, ALL, True)
         assert not dead.asked
 
-    play(tmp_path, [a, b, dead], day)
+    run_scenario(tmp_path, [a, b, dead], day)
 
 
 def test_one_that_gets_no_answer_is_answered_before_its_time_is_up(tmp_path: Path) -> None:
-    a, b = reader(), writer("silent", "silent")
+    a, b = prefill_engine(), decode_engine("silent", "silent")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         begun = asyncio.get_running_loop().time()
         status, _, whole = await node.ask("c0", workload="booking", budget="700")
         assert (status, whole) == (502, True) and asyncio.get_running_loop().time() - begun < 0.75
         await a.until(1, "DELETE")  # the state that it read is let go
         assert [name for method, name in b.asked if method == "POST"] == ["c0"]
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_a_client_that_leaves_takes_its_dispatch_and_state_along(tmp_path: Path) -> None:
-    a, b = reader("hold"), writer()
+    a, b = prefill_engine("hold"), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(asked("c0"))
+        client.say(request_bytes("c0"))
         await a.until(1)
         client.writer.transport.abort()
         await b.until(0)
@@ -310,49 +310,49 @@
         await asyncio.wait([held, other], return_when=asyncio.FIRST_COMPLETED)
         assert not [m for m, _ in b.asked if m == "POST"]
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 @pytest.mark.parametrize("left", [0, 1])
 def test_a_layout_without_a_role_answers_at_once(tmp_path: Path, left: int) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
         assert (await node.ask("c0"))[0] == 503
         assert (await node.ask("c1", workload="booking"))[0] == 503
         assert loop.time() - began < 2.0  # of 8 that the two would wait
 
-    play(tmp_path, [reader() if left == 0 else writer()], day)
+    run_scenario(tmp_path, [prefill_engine() if left == 0 else decode_engine()], day)
 
 
 def test_a_full_deployment_says_when_to_come_back(tmp_path: Path) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(asked("c0", budget="300"))
+        client.say(request_bytes("c0", budget="300"))
         status, headers = await client.head()
         assert status == 503 and 0.0 < float(headers["retry-after"]) <= 1.0
 
-    play(tmp_path, [reader()], day)  # no writer at all
+    run_scenario(tmp_path, [prefill_engine()], day)  # no writer at all
 
 
 @pytest.mark.parametrize(
     "said, status",
     [
-        (asked(""), 400),
-        (asked("a/../b"), 400),
-        (asked("c0", workload="odd"), 400),
-        (asked("c0", budget="soon"), 400),
-        (asked("c0", budget="-5"), 400),
-        (asked("c0", budget="0"), 400),
-        (asked("c0", budget="9" * 30), 400),
-        (asked("c0", prompt="-1"), 400),
-        (asked("c0", prompt="1e3"), 400),
-        (asked("c0", prompt="9" * 12), 400),
-        (asked("c0", body=b"{"), 400),
-        (asked("c0", body=b"{}"), 400),
-        (asked("c0", more="X-Call-Id: c1\r\n"), 400),
-        (asked("c0", target="/v1/other"), 404),
-        (asked("c0", more="Transfer-Encoding: chunked\r\n"), 400),
+        (request_bytes(""), 400),
+        (request_bytes("a/../b"), 400),
+        (request_bytes("c0", workload="odd"), 400),
+        (request_bytes("c0", budget="soon"), 400),
+        (request_bytes("c0", budget="-5"), 400),
+        (request_bytes("c0", budget="0"), 400),
+        (request_bytes("c0", budget="9" * 30), 400),
+        (request_bytes("c0", prompt="-1"), 400),
+        (request_bytes("c0", prompt="1e3"), 400),
+        (request_bytes("c0", prompt="9" * 12), 400),
+        (request_bytes("c0", body=b"{"), 400),
+        (request_bytes("c0", body=b"{}"), 400),
+        (request_bytes("c0", more="X-Call-Id: c1\r\n"), 400),
+        (request_bytes("c0", target="/v1/other"), 404),
+        (request_bytes("c0", more="Transfer-Encoding: chunked\r\n"), 400),
         (b"GET /v1/chat/completions HTTP/1.1\r\n\r\n", 405),
         (b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 413),
         (b"\x00" * 100, 400),
@@ -360,9 +360,9 @@
     ],
 )
 def test_what_makes_no_sense_is_refused_and_never_sent_on(tmp_path: Path, said: bytes, status: int) -> None:
-    a, b = reader(), writer()
+    a, b = prefill_engine(), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
         client.say(said)
         assert (await client.answer())[0] == status
@@ -371,26 +371,26 @@
         assert not [call for call in a.asked + b.asked if call[0] in ("POST", "DELETE")]
         assert await node.ask("after") == (200, ALL, True)
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_the_id_of_an_open_completion_is_refused_until_it_is_over(tmp_path: Path) -> None:
-    a, b = reader("hold"), writer()
+    a, b = prefill_engine("hold"), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         first = await node.client()
-        first.say(asked("c0"))
+        first.say(request_bytes("c0"))
         await a.until(1)
         assert (await node.ask("c0"))[0] == 409
         a.held.set()
         assert await first.answer() == (200, ALL, True)
         assert await node.ask("c0") == (200, ALL, True)
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_silent_connections_make_way_and_are_closed_in_time(tmp_path: Path) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         begun = asyncio.get_running_loop().time()
         silent = [await node.client() for _ in range(100)]  # half of 64 descriptors are clients'
         assert await node.ask("c0") == (200, ALL, True)
@@ -398,26 +398,26 @@
         assert asyncio.get_running_loop().time() - begun < 3.0
         assert {line.split(b"\r\n")[0] for line in said} <= {b"", b"HTTP/1.1 408 Request Timeout"}
 
-    play(tmp_path, [reader(), writer()], day, sockets=64)
+    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day, sockets=64)
 
 
 def test_the_end_serves_on_and_answers_all_that_was_taken(tmp_path: Path) -> None:
-    a, b = reader(), writer("hold")
+    a, b = prefill_engine(), decode_engine("hold")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         idle, busy, late = [await node.client() for _ in range(3)]
-        idle.say(asked("c0"))
+        idle.say(request_bytes("c0"))
         await b.until(1)
         b.held.set()
         assert await idle.answer() == (200, ALL, True)
         b.held.clear()
         b.script.append("hold")
-        busy.say(asked("c1"))
+        busy.say(request_bytes("c1"))
         await b.until(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         await node.until("ending")
-        busy.say(asked("c3"))  # behind the one in hand
+        busy.say(request_bytes("c3"))  # behind the one in hand
         late.say(b"GET /health/ready HTTP/1.1\r\n\r\n")
         status, headers = await late.head()
         assert status == 503 and headers["connection"] == "close"
@@ -428,13 +428,13 @@
         await node.until("ended")
         assert await node.process.wait() == 0
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_a_new_configuration_moves_the_watch_and_a_broken_one_does_not(tmp_path: Path) -> None:
-    a, b, other = reader(), writer(), writer(uid="w2")
+    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         assert node.process
         node.path.write_text("{")
         send_signal(node.process, signal.SIGHUP)
@@ -457,13 +457,13 @@
         moved.close()
         other.close()
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_a_drain_is_kept_and_discovery_that_is_down_changes_nothing(tmp_path: Path) -> None:
-    a, b, other = reader(), writer(), writer(uid="w2")
+    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         b.state = "DRAINING"
         node.agent.say(b.row)
         # Until it is heard, either may be chosen; a change is heard in order, so ask until the other is.
@@ -477,38 +477,43 @@
             assert await node.ask(f"d{n}") == (200, ALL, True)
         assert len(b.asked) == count
 
-    play(tmp_path, [a, b, other], day)
+    run_scenario(tmp_path, [a, b, other], day)
 
 
 def test_a_new_process_asks_for_the_list_before_it_is_ready(tmp_path: Path) -> None:
     """What the agent has counts as told from the first moment: what is known from before may be old. The
     first call gets no answer, as one made while discovery is down; the list comes with the second."""
-    a, b, other = reader(), writer(), writer(uid="w2")
+    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
 
-    def drained_meanwhile(node: Node) -> None:
+    def drained_meanwhile(node: NodeProcess) -> None:
         b.state, other.state, node.agent.unanswered = "DRAINING", "SERVING", 1
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         assert await node.ask("c0") == (200, ALL, True)
         assert not b.asked and ("POST", "c0") in other.asked
 
     other.state = "DRAINING"
-    play(tmp_path, [a, b, other], day, before=drained_meanwhile)
+    run_scenario(tmp_path, [a, b, other], day, before=drained_meanwhile)
 
 
 def test_with_a_silent_agent_a_process_starts_on_what_it_knew(tmp_path: Path) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         assert node.said[-1]["event"] == "ready" and node.said[-2]["event"] == "state"
         assert "no list yet" in {line["event"] for line in node.said}
         assert await node.ask("c0") == (200, ALL, True)
 
-    play(tmp_path, [reader(), writer()], day, before=lambda node: setattr(node.agent, "silent", True))
+    run_scenario(
+        tmp_path,
+        [prefill_engine(), decode_engine()],
+        day,
+        before=lambda node: setattr(node.agent, "silent", True),
+    )
 
 
 @asynccontextmanager
 async def watched() -> AsyncIterator[tuple[ScriptedEngine, Agent, list[Health]]]:
     """One engine, discovery, and the states that a Watch has heard there, in order; it watches."""
-    engine = writer()
+    engine = decode_engine()
     await engine.open()
     agent = Agent(engine)
     await agent.open()
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -17,7 +17,7 @@
         try:
             passed += answer.feed(said[at : at + step])
             if answer.response.done:
-                return passed, answer.verdict()
+                return passed, answer.outcome()
         except NonsenseError:
             return passed, "nonsense"
     return passed, None
@@ -47,7 +47,7 @@
                 got += answer.feed(said[at : at + step])
             assert not answer.response.done and not answer.keep
             answer.response.closed()
-            found: object = answer.verdict()
+            found: object = answer.outcome()
         except NonsenseError:
             found = "nonsense"
         assert (got, found) == (passed, verdict)
@@ -121,7 +121,7 @@
 def test_a_second_answer_behind_the_first_ends_the_connections_use() -> None:
     answer = Answer(reading=False)
     assert answer.feed(GOOD + GOOD) == ALL
-    assert answer.verdict() == (Outcome.FINISHED, 4) and not answer.keep
+    assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep
     clean = Answer(reading=False)
     clean.feed(GOOD)
     assert clean.keep
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import ALL, Client, Node, asked, play, reader, writer
+from test_platform import ALL, Client, NodeProcess, request_bytes, run_scenario, prefill_engine, decode_engine
 
 from heathford.child_signals import send_signal
 from heathford.interface import STALL_ALLOWANCE
@@ -27,14 +27,14 @@
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
 def test_a_queued_request_whose_client_has_gone_is_never_sent(tmp_path: Path, how: str) -> None:
-    a, b = reader(), writer()
+    a, b = prefill_engine(), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         node.agent.say({**a.row, "state": "DRAINING"}, {**b.row, "state": "DRAINING"})
-        other = writer(uid="w2")
+        other = decode_engine(uid="w2")
         await asyncio.sleep(0.1)
         client = await node.client()
-        client.say(asked("c0"))
+        client.say(request_bytes("c0"))
         await asyncio.sleep(0.1)
         close(client, how)
         await asyncio.sleep(GONE)
@@ -44,7 +44,7 @@
         other.close()
         assert posts(a) == 1 and posts(b, other) == 1
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
@@ -53,10 +53,10 @@
     [
         pytest.param(b"", id="nothing"),
         pytest.param(b"x", id="a byte"),
-        pytest.param(asked("d1"), id="a request"),
-        pytest.param(40 * asked("d2"), id="40 requests"),
+        pytest.param(request_bytes("d1"), id="a request"),
+        pytest.param(40 * request_bytes("d2"), id="40 requests"),
         pytest.param(2_000_000 * b"x", id="2 MB of noise"),
-        pytest.param(5_000 * asked("d3"), id="1.5 MB of requests"),
+        pytest.param(5_000 * request_bytes("d3"), id="1.5 MB of requests"),
     ],
 )
 def test_no_write_begins_after_the_client_has_gone(tmp_path: Path, how: str, behind: bytes) -> None:
@@ -64,11 +64,11 @@
 
     Seen before: with more than 64 KiB behind an open request the connection was not read any more, so its end
     was not seen, and the write went out."""
-    a, b = reader("hold"), writer()
+    a, b = prefill_engine("hold"), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(asked("c0"))
+        client.say(request_bytes("c0"))
         await a.until(1)
         client.say(behind)
         if behind:
@@ -80,18 +80,18 @@
         assert posts(b) == 0 and posts(a) == 1
         assert await node.ask("c1") == (200, ALL, True)
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 @pytest.mark.parametrize("step", ["reset", "error", "full", "hold"])
 def test_no_further_attempt_begins_after_the_client_has_gone(tmp_path: Path, step: str) -> None:
     """Its first attempt ends, one way or another, after the client has gone."""
-    a, b, other = reader(), writer("hold"), writer(uid="w2")
+    a, b, other = prefill_engine(), decode_engine("hold"), decode_engine(uid="w2")
     other.state = "DRAINING"
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(asked("c0"))
+        client.say(request_bytes("c0"))
         await b.until(1)
         client.writer.close()
         await asyncio.sleep(GONE)
@@ -101,49 +101,49 @@
         await asyncio.sleep(0.3)
         assert posts(a) == 1 and posts(b) == 1 and posts(other) == 0
 
-    play(tmp_path, [a, b, other], day)
+    run_scenario(tmp_path, [a, b, other], day)
 
 
 def test_what_a_client_sent_ahead_is_answered_in_order(tmp_path: Path) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(b"".join(asked(f"c{n}") for n in range(6)))
+        client.say(b"".join(request_bytes(f"c{n}") for n in range(6)))
         for _ in range(6):
             assert await client.answer() == (200, ALL, True)
 
-    play(tmp_path, [reader(), writer()], day)
+    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day)
 
 
 def test_a_flood_behind_an_open_request_costs_other_clients_nothing(tmp_path: Path) -> None:
-    a, b = reader("hold"), writer()
+    a, b = prefill_engine("hold"), decode_engine()
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         flood = await node.client()
-        flood.say(asked("c0") + 2_000 * asked("d"))
+        flood.say(request_bytes("c0") + 2_000 * request_bytes("d"))
         await a.until(1)
         assert await node.ask("c1") == (200, ALL, True)
         a.held.set()
         assert await flood.answer() == (200, ALL, True)
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_a_request_that_crosses_our_close_is_not_sent_on_and_resets_nothing(tmp_path: Path) -> None:
     """After SIGTERM idle connections are shut. A request that comes then is read and dropped: its client
     reads an end, not a reset, and sends it anew elsewhere."""
-    a, b = reader(), writer("hold")
+    a, b = prefill_engine(), decode_engine("hold")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         idle, busy = await node.client(), await node.client()
-        idle.say(asked("c0"))
+        idle.say(request_bytes("c0"))
         b.script = ["good", "hold"]
         assert await idle.answer() == (200, ALL, True)
-        busy.say(asked("c1"))
+        busy.say(request_bytes("c1"))
         await b.until(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         assert await idle.reader.read() == b""
-        idle.say(asked("c2"))
+        idle.say(request_bytes("c2"))
         await asyncio.sleep(0.2)
         b.held.set()
         assert await busy.answer() == (200, ALL, True)
@@ -151,11 +151,11 @@
         idle.writer.close()
         assert await node.process.wait() == 0
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_an_error_is_read_although_its_client_goes_on_sending(tmp_path: Path) -> None:
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         client = await node.client()
         head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nContent-Length: 60000000\r\n\r\n"
         client.say(head + 1_000_000 * b"x")
@@ -164,7 +164,7 @@
         client.say(1_000 * b"x")
         assert await client.reader.read() == b""
 
-    play(tmp_path, [reader(), writer()], day)
+    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day)
 
 
 @pytest.mark.parametrize(
@@ -180,9 +180,9 @@
     tmp_path: Path, signals: tuple[signal.Signals, ...], config: str
 ) -> None:
     """What was taken is answered, and the process ends, whatever the file says by then."""
-    a, b = reader(), writer("hold")
+    a, b = prefill_engine(), decode_engine("hold")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.ask("c0"))
         await b.until(1)
         text = node.path.read_bytes()
@@ -196,7 +196,7 @@
         assert await waiting == (200, ALL, True)
         assert await node.process.wait() == 0
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 @pytest.mark.parametrize("budget", [300, 1_000, 3_500])
@@ -205,9 +205,9 @@
     no engine answers has its final answer, and the process has ended, though its client keeps the connection.
 
     Seen: it waited a second more for that client to close."""
-    a, b = reader(), writer("silent", "silent", "silent", "silent")
+    a, b = prefill_engine(), decode_engine("silent", "silent", "silent", "silent")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.ask("c0", workload="booking", budget=str(budget)))
         await b.until(1)
         assert node.process
@@ -217,7 +217,7 @@
             assert (status, whole) == (502, True)
             assert await node.process.wait() == 0
 
-    play(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [a, b], day)
 
 
 def test_half_a_request_is_told_within_three_seconds_also_where_the_loop_is_held_up() -> None:
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import ALL, Node, play, reader, writer
+from test_platform import ALL, NodeProcess, run_scenario, prefill_engine, decode_engine
 
 from heathford.platform.process import RESERVED, Descriptors
 
@@ -13,13 +13,13 @@
 TURNING_AWAY = 0.5  # s of processor time in a second: a loop that spins takes all of it
 
 
-def processor_time(node: Node) -> float:
+def processor_time(node: NodeProcess) -> float:
     assert node.process
     fields = Path(f"/proc/{node.process.pid}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100  # in ticks of 10 ms
 
 
-def descriptors(node: Node) -> int:
+def descriptors(node: NodeProcess) -> int:
     assert node.process
     return len(list(Path(f"/proc/{node.process.pid}/fd").iterdir()))
 
@@ -33,10 +33,10 @@
 
 def test_discovery_is_followed_again_though_idle_clients_hold_all_they_can(tmp_path: Path) -> None:
     """Discovery goes down, idle clients fill the descriptors, discovery returns with news."""
-    a, b, other = reader(), writer("hold"), writer(uid="w2")
+    a, b, other = prefill_engine(), decode_engine("hold"), decode_engine(uid="w2")
     other.state = "DRAINING"
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.ask("c0"))
         await b.until(1)
         port = int(node.agent.address.rpartition(":")[2])
@@ -57,13 +57,13 @@
         assert await node.ask("c1") == (200, ALL, True)  # on a new connection, though all are taken
         assert ("POST", "c1") in other.asked and ("POST", "c1") not in b.asked
 
-    play(tmp_path, [a, b, other], day, sockets=SOCKETS, limited=True)
+    run_scenario(tmp_path, [a, b, other], day, sockets=SOCKETS, limited=True)
 
 
 def test_an_open_request_is_not_turned_out_for_new_clients(tmp_path: Path) -> None:
-    a, b = reader(), writer("hold", "hold", "hold")
+    a, b = prefill_engine(), decode_engine("hold", "hold", "hold")
 
-    async def day(node: Node) -> None:
+    async def day(node: NodeProcess) -> None:
         waiting = [asyncio.create_task(node.ask(f"c{n}")) for n in range(3)]
         await b.until(3)
         for _ in range(3):
@@ -71,4 +71,4 @@
         b.held.set()
         assert await asyncio.gather(*waiting) == 3 * [(200, ALL, True)]
 
-    play(tmp_path, [a, b], day, sockets=SOCKETS, limited=True)
+    run_scenario(tmp_path, [a, b], day, sockets=SOCKETS, limited=True)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 import pytest
-from conftest import ReleaseHeard
+from conftest import RecordingReleaseEvents
 
 from heathford.core.protocols import Endpoint
 from heathford.interface import Role, Outcome
@@ -148,7 +148,7 @@
         try:
             link = link_of(engine.endpoint(), other.endpoint())
             began = link.loop.time()
-            link.release(engine.endpoint(), "a1", ReleaseHeard())
+            link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
             held = await other.accepted()
             await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
             assert held.recv(65_536).startswith(b"DELETE /bootstrap/rooms/a1 ")
@@ -167,7 +167,7 @@
 
     async def day() -> None:
         link = link_of()
-        link.release(engine.endpoint(), "a1", ReleaseHeard())
+        link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
         held = await engine.accepted()
         send(link, engine, Heard(lambda: None))
         await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
@@ -185,7 +185,7 @@
 def test_what_waits_for_a_release_when_it_is_withdrawn_is_never_sent(engine: Engine) -> None:
     async def day() -> None:
         link = link_of()
-        link.release(engine.endpoint(), "a1", ReleaseHeard())
+        link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
         heard = Heard(lambda: None)
         call = send(link, engine, heard)
         held = await engine.accepted()
@@ -244,7 +244,7 @@
             gone.close()
         link = link_of(*dead, engine.endpoint())
         began = link.loop.time()
-        link.release(dead[0], "a1", ReleaseHeard())
+        link.release(dead[0], "a1", RecordingReleaseEvents())
         held = await engine.accepted()
         assert link.loop.time() - began < 0.2
         await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
@@ -323,11 +323,11 @@
         dead = gone.endpoint()
         gone.close()
         link = link_of(dead)
-        heard = ReleaseHeard()
+        heard = RecordingReleaseEvents()
         link.release(dead, "a1", heard)
         await asyncio.sleep(0.04)
-        assert heard.told.count("asked e") <= 2
-        await until(lambda: "failed" in heard.told)
+        assert heard.events.count("asked e") <= 2
+        await until(lambda: "failed" in heard.events)
         link.stop()
 
     asyncio.run(day())
--- a/tests/test_platform_signals.py
+++ b/tests/test_platform_signals.py
@@ -10,19 +10,19 @@
 
 import orjson
 import pytest
-from node_processes import PLATFORM, node_process, until_said
+from node_processes import PLATFORM_COMMAND, node_process, wait_for_log
 
 from heathford.child_signals import send_signal
 
 STARTS = """
 import os, runpy, signal, sys
-from heathford.early_signals import EARLY
-hold = EARLY.hold
+from heathford.early_signals import EARLY_SIGNALS
+hold = EARLY_SIGNALS.install
 def signalled():
     hold()
     for number in {numbers}:
         os.kill(os.getpid(), number)
-EARLY.hold = signalled
+EARLY_SIGNALS.install = signalled
 sys.argv = ["heathford", "--log", "json", "platform"]
 runpy.run_module("heathford", run_name="__main__")
 """
@@ -67,8 +67,8 @@
     """Seen before: once its event loop was closed SIGHUP ended it, with status -1."""
 
     async def day() -> None:
-        async with node_process(tmp_path, *PLATFORM) as process:
-            await until_said(process, b'"ready"')
+        async with node_process(tmp_path, *PLATFORM_COMMAND) as process:
+            await wait_for_log(process, b'"ready"')
             send_signal(process, signal.SIGTERM)
             assert process.stderr
             reading = asyncio.create_task(process.stderr.read())
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -6,14 +6,14 @@
 from math import inf
 
 import pytest
-from conftest import KINDS, Bench
+from conftest import KINDS, RouterHarness
 
 from heathford.interface import NEVER_RAN, Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import Router
 from heathford.policy.engine_state import REST_MOST, Engine
 from heathford.policy.estimators import Fit, mixed_features, read_features
 
-New = Callable[..., Bench]
+New = Callable[..., RouterHarness]
 FLEET = ((10, 0), (11, 0), (12, 1), (13, 1), (14, 2))
 IDEMPOTENT, IDEMPOTENCY_KEYED, NON_IDEMPOTENT = (
     Effect.IDEMPOTENT,
@@ -40,8 +40,10 @@
 
 
 @pytest.mark.parametrize("prompt, kind", [(1500, "mixed"), (2500, "reader")])
-def test_start_reads_short_prompts_where_they_are_written(bench: New, prompt: int, kind: str) -> None:
-    b = bench()
+def test_start_reads_short_prompts_where_they_are_written(
+    router_harness: New, prompt: int, kind: str
+) -> None:
+    b = router_harness()
     b.engines(*FLEET)
     b.take(prompt)
     [(_, engine)] = b.asked()
@@ -53,9 +55,9 @@
     [(0.05, 0.05, 0.0, False), (0.05, 0.40, 0.0, True), (0.40, 0.05, 0.0, False), (0.05, 0.40, 30.0, False)],
 )  # a side without answers is tried again
 def test_balanced_cut_chooses(
-    bench: New, read_slope: float, mixed_slope: float, idle: float, reader: bool
+    router_harness: New, read_slope: float, mixed_slope: float, idle: float, reader: bool
 ) -> None:
-    b = bench()
+    b = router_harness()
     b.engines(*FLEET)
     for i in range(60):
         tokens = 100 + 100 * (i % 30)
@@ -66,8 +68,8 @@
     assert (engine in (10, 11)) == reader
 
 
-def test_session_stays_on_its_mixed_server_and_cached_tokens_count(bench: New) -> None:
-    b = bench()
+def test_session_stays_on_its_mixed_server_and_cached_tokens_count(router_harness: New) -> None:
+    b = router_harness()
     b.engines(*FLEET, (15, 2), (16, 2))
     first = b.take(1900)
     [(_, engine)] = b.asked()
@@ -77,8 +79,8 @@
     assert b.asked() == [("send", engine)]
 
 
-def test_memory_short_sends_short_prompts_to_a_reader_and_full_gates_wait(bench: New) -> None:
-    b = bench()
+def test_memory_short_sends_short_prompts_to_a_reader_and_full_gates_wait(router_harness: New) -> None:
+    b = router_harness()
     b.engines(*FLEET)
     first = b.take(1500)
     b.end(first, Outcome.FULL, memory=0.99)
@@ -104,9 +106,9 @@
     ],
 )
 def test_next_step_after_a_write_failed(
-    bench: New, verdict: Outcome, detail: int, effect: Effect, group: Group, then: str
+    router_harness: New, verdict: Outcome, detail: int, effect: Effect, group: Group, then: str
 ) -> None:
-    b = bench(effect=effect, group=group)
+    b = router_harness(effect=effect, group=group)
     b.engines(*FLEET)
     c = b.take()
     b.end(c, Outcome.PREFILLED)
@@ -129,9 +131,9 @@
     ],
 )
 def test_tokened_repeats_stay_in_their_group_and_time(
-    bench: New, group: Group, elsewhere: int, later: float, stays: bool
+    router_harness: New, group: Group, elsewhere: int, later: float, stays: bool
 ) -> None:
-    b = bench(effect=IDEMPOTENCY_KEYED, group=group)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=group)
     b.engines((10, 0), (12, 1))
     c = b.take()
     b.end(c, Outcome.PREFILLED)
@@ -152,8 +154,8 @@
         ("out of time", 0.3, True),
     ],
 )
-def test_nothing_stays_pinned(bench: New, how: str, limit: float, limited: bool) -> None:
-    b = bench(pin_limit=limit, cold_from=0.0)
+def test_nothing_stays_pinned(router_harness: New, how: str, limit: float, limited: bool) -> None:
+    b = router_harness(pin_limit=limit, cold_from=0.0)
     b.engines((10, 0), (12, 1))
     c = b.take(deadline=b.now + (0.2 if how == "out of time" else 5.0))
     if how == "no writer":
@@ -173,21 +175,21 @@
     [(IDEMPOTENT, 20.0, 4.0, 2.0), (NON_IDEMPOTENT, 20.0, 4.0, 19.9), (IDEMPOTENT, 1.5, 0.75, 0.7)],
 )
 def test_what_may_be_repeated_is_not_waited_for_to_its_client_timeout(
-    bench: New, effect: Effect, left: float, read: float, write: float
+    router_harness: New, effect: Effect, left: float, read: float, write: float
 ) -> None:
     """Seen on sockets: silent engines, each waited for half of a client timeout of five targets."""
-    b = bench(effect=effect)
+    b = router_harness(effect=effect)
     b.engines(*FLEET)
     c = b.take(deadline=b.now + left)
-    assert b.patience == pytest.approx(read)
+    assert b.attempt_timeout == pytest.approx(read)
     b.end(c, Outcome.PREFILLED)
-    assert b.patience == pytest.approx(write)
+    assert b.attempt_timeout == pytest.approx(write)
 
 
-def test_the_fewer_reads_are_answered_the_longer_they_are_waited_for(bench: New) -> None:
+def test_the_fewer_reads_are_answered_the_longer_they_are_waited_for(router_harness: New) -> None:
     """Seen on a fleet: a reader with 30 reads a second, each given up after 0.9 s, finished none for 6 s;
     none left its text kept, and all were read anew elsewhere."""
-    b = bench()
+    b = router_harness()
     b.engines(*[(n, 0) for n in range(20, 60)], *[(n, 1) for n in range(10, 20)])
 
     def answered(count: int) -> None:
@@ -203,21 +205,21 @@
         c = b.take(session=f"x{n}", deadline=b.now + 20.0)
         for _ in range(3):
             b.end(c, Outcome.TIMED_OUT, after=0.01)
-            waits.append(b.patience)
+            waits.append(b.attempt_timeout)
         c.client_left()
         b.end(c, Outcome.CANCELLED, after=0.01, closed=True)
     assert waits == sorted(waits) and waits[0] == pytest.approx(2.4, abs=0.2) and waits[-1] > 4.0
     answered(80)
     b.take(session="y", deadline=b.now + 20.0)
-    assert b.patience == pytest.approx(2.4, abs=0.2)
+    assert b.attempt_timeout == pytest.approx(2.4, abs=0.2)
 
 
 @pytest.mark.parametrize("verdict, rests", [(Outcome.TIMED_OUT, True), (Outcome.ERROR, False)])
 def test_a_reader_that_did_not_answer_in_time_rests_as_a_slow_one_does(
-    bench: New, verdict: Outcome, rests: bool
+    router_harness: New, verdict: Outcome, rests: bool
 ) -> None:
     """A slow answer rested its reader, and none at all did not: one alone is no failure."""
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), (11, 0), (12, 1))
     c = b.take(session="s", shared="a")
     [(_, slow)] = b.asked()
@@ -232,10 +234,10 @@
 
 @pytest.mark.parametrize("each, sends", [(0.01, 3), (0.25, 1)])
 def test_a_state_is_let_go_once_a_writer_out_of_reach_has_taken_much_of_the_pin_limit(
-    bench: New, each: float, sends: int
+    router_harness: New, each: float, sends: int
 ) -> None:
     """Seen on sockets: 0.5 s of connecting to two writers in vain, and the state of the read still held."""
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), *((n, 1) for n in range(12, 18)))
     c = b.take()
     b.end(c, Outcome.PREFILLED)
@@ -248,8 +250,8 @@
 
 
 @pytest.mark.parametrize("effect", [IDEMPOTENT, IDEMPOTENCY_KEYED, NON_IDEMPOTENT])
-def test_one_final_answer_in_time_when_no_engine_is_usable(bench: New, effect: Effect) -> None:
-    b = bench(effect=effect)
+def test_one_final_answer_in_time_when_no_engine_is_usable(router_harness: New, effect: Effect) -> None:
+    b = router_harness(effect=effect)
     b.take(deadline=b.now + 1.0)
     b.wait(0.98)
     assert b.asked() == [("rate_limit",)]
@@ -257,8 +259,8 @@
     assert b.asked() == []
 
 
-def test_no_send_to_draining_or_removed_engines(bench: New) -> None:
-    b = bench()
+def test_no_send_to_draining_or_removed_engines(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (11, 0))
     b.engines((10, 0), health=Health.DRAINING)
     b.router.begin_list_update(complete=True)
@@ -267,8 +269,8 @@
     assert b.asked() == [("rate_limit",)]
 
 
-def test_reader_failing_fast_is_set_aside_and_returns_by_a_trickle(bench: New) -> None:
-    b = bench()
+def test_reader_failing_fast_is_set_aside_and_returns_by_a_trickle(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (12, 1), (13, 1), (14, 1))
     b.router.good, b.router.counted_at = 100.0, b.now  # no jam
     failed = b.take()
@@ -286,8 +288,8 @@
     assert trickles == [2, 4, 6]  # two at once by the gate
 
 
-def test_failures_without_end_rest_an_engine_for_a_bounded_time(bench: New) -> None:
-    b = bench()
+def test_failures_without_end_rest_an_engine_for_a_bounded_time(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0))
     for _ in range(2000):
         b.now += 1.0
@@ -295,8 +297,8 @@
     assert b.now < b.router.engines[10].cooldowns[None][0] < b.now + 10.0
 
 
-def test_a_slow_engine_rests_longer_each_time_and_less_after_good_answers(bench: New) -> None:
-    b = bench()
+def test_a_slow_engine_rests_longer_each_time_and_less_after_good_answers(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     engine, rests = b.router.engines[10], []
     for latency in (0.9, 0.9, 0.9, 0.1, 0.1):
@@ -308,8 +310,8 @@
     assert rests == pytest.approx([0.9, 1.8, 3.6, 1.8, 0.9])
 
 
-def test_slow_answers_to_what_was_sent_before_a_rest_began_do_not_lengthen_it(bench: New) -> None:
-    b = bench()
+def test_slow_answers_to_what_was_sent_before_a_rest_began_do_not_lengthen_it(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0))
     engine = b.router.engines[10]
     for sent in (b.now, b.now + 0.1, b.now + 0.2):
@@ -319,9 +321,9 @@
 
 @pytest.mark.parametrize("asked, good, let_in", [(0.0, 0.0, 40), (20.0, 12.0, 40), (40.0, 4.0, 12)])
 def test_in_a_jam_little_more_is_let_in_than_is_answered_in_time(
-    bench: New, asked: float, good: float, let_in: int
+    router_harness: New, asked: float, good: float, let_in: int
 ) -> None:
-    b = bench()
+    b = router_harness()
     b.engines(*((n, 0) for n in range(10, 60)), *((n, 1) for n in range(60, 90)))
     b.router.counted_at = b.now
     for i in range(40):
@@ -333,9 +335,9 @@
 
 @pytest.mark.parametrize("latency, others", [(0.2, "send"), (0.001, None)])
 def test_a_late_refusal_closes_an_engine_for_its_origin_only(
-    bench: New, latency: float, others: str | None
+    router_harness: New, latency: float, others: str | None
 ) -> None:
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     b.end(b.take(tenant=0), Outcome.FULL, after=latency)
     b.asked()
@@ -344,10 +346,10 @@
 
 
 @pytest.mark.parametrize("fronts", [3, 200])
-def test_sessions_of_one_beginning_lead_to_one_reader_at_all_fronts(bench: New, fronts: int) -> None:
+def test_sessions_of_one_beginning_lead_to_one_reader_at_all_fronts(router_harness: New, fronts: int) -> None:
     seen = []
     for number in range(3):
-        b = bench(number=number, fronts=fronts)
+        b = router_harness(number=number, fronts=fronts)
         b.engines(*((n, 0) for n in range(10, 30)), (30, 1))
         for i in range(30):
             c = b.take(session=f"s{i}", shared="text")
@@ -358,8 +360,8 @@
     assert seen[0] == seen[1] == seen[2] and len(set(seen[0])) == 1
 
 
-def test_silent_engine_gets_no_more_while_it_lets_one_wait(bench: New) -> None:
-    b = bench()
+def test_silent_engine_gets_no_more_while_it_lets_one_wait(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (11, 0), (12, 1))
     b.take(session="x")
     [(_, silent)] = b.asked()
@@ -383,14 +385,14 @@
     "fronts, per_second, budget", [(3, 30.0, 54.0), (200, 0.4, 48.0), (230, 0.1, 13.8), (1024, 0.25, 153.6)]
 )
 def test_fronts_share_the_budget_of_a_cold_engine(
-    bench: New, fronts: int, per_second: float, budget: float
+    router_harness: New, fronts: int, per_second: float, budget: float
 ) -> None:
     """To each front, a warm reader answers that much a second, and as much leads to the cold one. Guards
     against cold engines that hardly any front uses, as where each waited for a turn of its own; and against
     more than the rule's budget: 0.6 of what one warm reader answers. Could harm where that is unlike."""
     sends: list[float] = []
     for number in range(fronts):
-        b = bench(number=number, fronts=fronts)
+        b = router_harness(number=number, fronts=fronts)
         b.engines((11, 0), (12, 0), (13, 1))
         start = b.now
         b.engines((20, 0), started=start)
@@ -414,11 +416,11 @@
 
 @pytest.mark.parametrize("answered, least, most", [(1.0, 0.5, 0.7), (0.25, 0.1, 0.25)])
 def test_where_reads_stay_unanswered_less_leads_to_cold_engines(
-    bench: New, answered: float, least: float, most: float
+    router_harness: New, answered: float, least: float, most: float
 ) -> None:
     """Guards against a cold engine that gets its part of what a jam sends again and again, not of what its
     like can answer. Could harm where reads are lost elsewhere."""
-    b = bench(fronts=200)
+    b = router_harness(fronts=200)
     b.engines((11, 0), (13, 1), (20, 0))
     c = b.take()
     b.router.read, b.router.heard = 40.0, 40.0 * answered
@@ -432,9 +434,9 @@
     assert least * 1000 <= let_in <= most * 1000
 
 
-def test_what_is_not_let_in_at_once_may_be_later(bench: New) -> None:
+def test_what_is_not_let_in_at_once_may_be_later(router_harness: New) -> None:
     """Guards against sessions that a cold engine would never take where there is no other."""
-    b = bench(workloads=[Workload(20.0, 0.0, 0.05, IDEMPOTENT, Group.ALL, 2.0, 1.0)])
+    b = router_harness(workloads=[Workload(20.0, 0.0, 0.05, IDEMPOTENT, Group.ALL, 2.0, 1.0)])
     b.engines((13, 1))
     for i in range(8):
         b.engines((20, 0), started=b.now)
@@ -446,9 +448,11 @@
         b.end(c, Outcome.FINISHED, closed=True)
 
 
-def test_a_decision_costs_no_more_than_the_list_is_long(bench: New, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_decision_costs_no_more_than_the_list_is_long(
+    router_harness: New, monkeypatch: pytest.MonkeyPatch
+) -> None:
     """Guards against each of a thousand cold engines working out the budget anew, in every draw."""
-    b = bench(number=1, fronts=1024)
+    b = router_harness(number=1, fronts=1024)
     b.engines((5000, 1))
     b.engines(*[(i, 0) for i in range(1024)], started=b.now)
     b.now += 0.1
@@ -465,10 +469,10 @@
     assert 1024 <= looks <= 16 * 1024
 
 
-def test_a_cold_engine_reads_the_texts_that_stay_with_it(bench: New) -> None:
+def test_a_cold_engine_reads_the_texts_that_stay_with_it(router_harness: New) -> None:
     """Guards against texts that a cold engine reads and that lead elsewhere once it is warm: what it is let
     have is what leads to it. Could harm by a slower read."""
-    b = bench(cold_from=1.0, cold_multiple=2.0)
+    b = router_harness(cold_from=1.0, cold_multiple=2.0)
     b.engines(*((10 + i, 0) for i in range(6)), (90, 1))
     b.engines((16, 0), started=b.now)
     cold = {}
@@ -489,9 +493,9 @@
     assert 3 <= sum(number == 16 for number in cold.values()) <= 20
 
 
-def test_one_reader_keeps_a_text_unless_it_has_more_of_our_tokens(bench: New) -> None:
+def test_one_reader_keeps_a_text_unless_it_has_more_of_our_tokens(router_harness: New) -> None:
     """Guards against two readers that each read the same text anew, where most are asked for a few times."""
-    b = bench()
+    b = router_harness()
     b.engines(*((10 + i, 0) for i in range(6)), (90, 1))
     readers = []
     for i in range(5):
@@ -503,8 +507,8 @@
     assert readers[:4] == [first] * 4 and beside != first
 
 
-def test_restart_under_the_same_id_forgets_what_it_kept(bench: New) -> None:
-    b = bench()
+def test_restart_under_the_same_id_forgets_what_it_kept(router_harness: New) -> None:
+    b = router_harness()
     b.engines(*FLEET)
     c = b.take(1900)
     b.first(c)
@@ -514,9 +518,9 @@
     assert b.router.engines[14].kept(c) == 0
 
 
-def test_same_events_same_actions(bench: New) -> None:
+def test_same_events_same_actions(router_harness: New) -> None:
     def play() -> list[tuple[Any, ...]]:
-        b = bench()
+        b = router_harness()
         b.engines(*FLEET, (15, 1), (16, 1), (17, 1))
         for i in range(20):
             c = b.take(1000 + 300 * i, session=f"s{i % 4}")
@@ -527,8 +531,8 @@
     assert play() == play()
 
 
-def test_an_engine_that_turns_work_away_rests_longer_each_time(bench: New) -> None:
-    b = bench()
+def test_an_engine_that_turns_work_away_rests_longer_each_time(router_harness: New) -> None:
+    b = router_harness()
     b.engines((14, 2))
     waits = []
     for i in range(4):
@@ -540,8 +544,8 @@
     assert waits == [0.25, 0.5, 1.0, 2.0]
 
 
-def test_a_full_pair_makes_its_own_wait_and_holds_up_no_others(bench: New) -> None:
-    b = bench()
+def test_a_full_pair_makes_its_own_wait_and_holds_up_no_others(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (11, 0), (15, 0), (12, 1), (13, 1), (16, 1), (17, 1))
     b.router.good, b.router.counted_at = 100.0, b.now  # no jam
     for i in range(6):
@@ -553,8 +557,8 @@
     assert {a[1] for a in b.asked() if a[0] == "send"} == {10, 11, 15} - set(readers)
 
 
-def test_an_engine_is_backed_up_by_what_it_has_not_answered(bench: New) -> None:
-    b = bench()
+def test_an_engine_is_backed_up_by_what_it_has_not_answered(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     b.end(b.take(), Outcome.PREFILLED, after=0.01)
     b.asked()
@@ -564,8 +568,8 @@
     assert b.asked() == [("send", 10), ("release",)]  # of the first, at its limit
 
 
-def test_what_waited_once_is_answered_at_once_when_its_dispatch_expires(bench: New) -> None:
-    b = bench()
+def test_what_waited_once_is_answered_at_once_when_its_dispatch_expires(router_harness: New) -> None:
+    b = router_harness()
     b.engines((14, 2))
     b.router.engines[14].cooldowns[None] = b.now + 0.1, 0.1
     c = b.take(500, deadline=b.now + 1.0)
@@ -576,8 +580,8 @@
     assert b.asked() == [("send", 14), ("rate_limit",)]
 
 
-def test_a_failed_subscription_is_asked_for_again_after_a_while(bench: New) -> None:
-    b = bench(subscribe=True)
+def test_a_failed_subscription_is_asked_for_again_after_a_while(router_harness: New) -> None:
+    b = router_harness(subscribe=True)
     b.router.decide()
     b.router.list_request_failed()
     b.router.decide()
@@ -586,8 +590,8 @@
     assert b.asked() == [("subscribe",)]
 
 
-def test_a_front_that_let_in_nothing_after_a_jam_tries_again(bench: New) -> None:
-    b = bench()
+def test_a_front_that_let_in_nothing_after_a_jam_tries_again(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     for _ in range(60):
         b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
@@ -601,10 +605,10 @@
     assert asked == [("rate_limit",), ("send", 10)]
 
 
-def test_what_is_turned_away_as_late_does_not_keep_a_jam_up(bench: New) -> None:
+def test_what_is_turned_away_as_late_does_not_keep_a_jam_up(router_harness: New) -> None:
     """Seen on a fleet: ten seconds after engines were replaced their reads took 0.15 s, and a third was still
     turned away, for what a fit of before called late counted as asked and not answered in time."""
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), (11, 0), (12, 1), (13, 1))
     for _ in range(60):
         b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
@@ -617,9 +621,9 @@
 
 @pytest.mark.parametrize("left, counts", [(0.6, False), (3.0, True)])
 def test_a_client_with_little_time_left_says_nothing_of_an_engine(
-    bench: New, left: float, counts: bool
+    router_harness: New, left: float, counts: bool
 ) -> None:
-    b = bench()
+    b = router_harness()
     b.engines((12, 1), (14, 2))
     for _ in range(2):
         b.now += 4.0  # past its rest
@@ -643,10 +647,10 @@
     ],
 )
 def test_what_no_engine_may_take_any_more_is_answered_at_once(
-    bench: New, effect: Effect, group: Group, gone: bool, after: float, answer: str
+    router_harness: New, effect: Effect, group: Group, gone: bool, after: float, answer: str
 ) -> None:
     """Past its memory time, or with its group gone, a tokened one waited for most of its client timeout."""
-    b = bench(effect=effect, group=group, try_limit=9)
+    b = router_harness(effect=effect, group=group, try_limit=9)
     b.engines((10, 0), (112, 1), (212, 1))
     c = b.take(deadline=b.now + 60.0)
     b.end(c, Outcome.PREFILLED)
@@ -669,9 +673,9 @@
     ],
 )
 def test_a_tokened_one_waits_for_room_no_longer_than_its_group_may_take_it(
-    bench: New, rest: float, gone: bool, waited: float, answer: str
+    router_harness: New, rest: float, gone: bool, waited: float, answer: str
 ) -> None:
-    b = bench(effect=IDEMPOTENCY_KEYED, group=Group.CELL)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=Group.CELL)
     b.engines((10, 0), (12, 1), (22, 1))
     c = b.take(deadline=b.now + 60.0)
     b.end(c, Outcome.PREFILLED)
@@ -688,10 +692,10 @@
 @pytest.mark.parametrize("verdict", [v for v in Outcome if v not in (Outcome.PREFILLED, Outcome.FINISHED)])
 @pytest.mark.parametrize("group, refused", [(Group.ALL, "rate_limit"), (Group.ZONE, "abort")])
 def test_a_tokened_one_is_not_repeated_where_engines_may_read_late(
-    bench: New, group: Group, refused: str, verdict: Outcome
+    router_harness: New, group: Group, refused: str, verdict: Outcome
 ) -> None:
     """After one that may have run it is answered at once; after one that never ran it is sent again."""
-    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=False)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=False)
     b.engines((10, 0), (12, 1), (22, 1))
     c = b.take(deadline=b.now + 60.0)
     b.end(c, Outcome.PREFILLED)
@@ -708,14 +712,14 @@
     [(True, Group.ZONE, 2.0), (False, Group.ALL, 2.0), (False, Group.ZONE, 19.9), (False, Group.CELL, 19.9)],
 )
 def test_a_tokened_one_is_waited_for_as_long_as_it_can_be_where_nothing_may_follow(
-    bench: New, keyed_repeats: bool, group: Group, patience: float
+    router_harness: New, keyed_repeats: bool, group: Group, patience: float
 ) -> None:
     """Half its time would be left over for a repeat that is not made; one that is refused comes again."""
-    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     b.engines(*FLEET)
     c = b.take(deadline=b.now + 20.0)
     b.end(c, Outcome.PREFILLED)
-    assert b.patience == pytest.approx(patience)
+    assert b.attempt_timeout == pytest.approx(patience)
 
 
 @pytest.mark.parametrize(
@@ -723,9 +727,9 @@
     [(False, Group.ALL, True), (False, Group.ZONE, False), (True, Group.ALL, False)],
 )
 def test_a_tokened_one_ends_at_a_silent_engine_only_where_its_client_may_come_again(
-    bench: New, keyed_repeats: bool, group: Group, ends: bool
+    router_harness: New, keyed_repeats: bool, group: Group, ends: bool
 ) -> None:
-    b = bench(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     b.engines((10, 0), (12, 1), (22, 1))
     c = b.take(deadline=b.now + 20.0)
     b.end(c, Outcome.PREFILLED)
@@ -741,9 +745,9 @@
 
 @pytest.mark.parametrize("beside, then", [([], "rate_limit"), ([(14, 2)], "send")])
 def test_one_try_left_with_nobody_to_read_and_write_is_answered_at_once(
-    bench: New, beside: list[tuple[int, int]], then: str
+    router_harness: New, beside: list[tuple[int, int]], then: str
 ) -> None:
-    b = bench(try_limit=2)
+    b = router_harness(try_limit=2)
     b.engines((10, 0), (12, 1), *beside)
     c = b.take()
     assert c.attempts[0].is_prefill
@@ -767,11 +771,11 @@
     ],
 )
 def test_each_layout_decides_or_answers_at_once(
-    bench: New, kinds: list[int], in_place: bool, answer: str
+    router_harness: New, kinds: list[int], in_place: bool, answer: str
 ) -> None:
     """One zone or three, cells of one engine, roles that nobody has."""
     for zones in (1, 3):
-        b = bench(read_in_place=in_place, zone=zones - 1)
+        b = router_harness(read_in_place=in_place, zone=zones - 1)
         b.engines(*((100 * zone + 10 * kind, kind) for zone in range(zones) for kind in kinds))
         for n in range(6):
             c = b.take(session=f"s{n % 2}")
@@ -789,8 +793,8 @@
         assert b.take().is_done  # all of it gone
 
 
-def test_a_front_that_has_just_started_waits_for_its_list(bench: New) -> None:
-    b = bench()
+def test_a_front_that_has_just_started_waits_for_its_list(router_harness: New) -> None:
+    b = router_harness()
     b.take()
     b.wait(0.2)
     assert b.asked() == []
@@ -801,16 +805,16 @@
 
 @pytest.mark.parametrize("allowed, longest, said", [(True, 2.0, 0.5), (True, 0.2, 0.2), (False, 2.0, 0.0)])
 def test_a_rate_limit_says_when_to_return_where_settings_allow(
-    bench: New, allowed: bool, longest: float, said: float
+    router_harness: New, allowed: bool, longest: float, said: float
 ) -> None:
-    b = bench(may_delay_retries=allowed, longest_retry=longest)
+    b = router_harness(may_delay_retries=allowed, longest_retry=longest)
     b.engines((10, 0))
     b.take()
     assert b.retry_after == said
 
 
-def test_an_answer_told_whole_is_no_stream_since_the_clock_began(bench: New) -> None:
-    b = bench()
+def test_an_answer_told_whole_is_no_stream_since_the_clock_began(router_harness: New) -> None:
+    b = router_harness()
     b.engines((12, 2))
     for _ in range(3):
         c = b.take()
@@ -819,8 +823,8 @@
     assert b.router.good > 2.0
 
 
-def test_another_machine_under_a_known_number_is_taken_for_what_it_is(bench: New) -> None:
-    b = bench()
+def test_another_machine_under_a_known_number_is_taken_for_what_it_is(router_harness: New) -> None:
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     c = b.take()
     b.engines((10, 1), (12, 0))
@@ -830,9 +834,9 @@
 
 
 @pytest.mark.parametrize("subscribe", [True, False])
-def test_a_clock_that_begins_at_zero_is_a_clock_like_any_other(bench: New, subscribe: bool) -> None:
+def test_a_clock_that_begins_at_zero_is_a_clock_like_any_other(router_harness: New, subscribe: bool) -> None:
     """The list was never asked for there: zero meant that nothing was due."""
-    b = bench(now=0.0, subscribe=subscribe)
+    b = router_harness(now=0.0, subscribe=subscribe)
     b.engines((10, 0), (12, 1))
     b.engines((13, 1), started=-2.0)  # before it began: cold still
     b.router.decide()
@@ -855,8 +859,8 @@
         ({"fronts": 0}, 0.0),
     ],
 )
-def test_settings_of_zero_divide_nothing(bench: New, settings: dict[str, Any], hint: float) -> None:
-    b = bench(**settings)
+def test_settings_of_zero_divide_nothing(router_harness: New, settings: dict[str, Any], hint: float) -> None:
+    b = router_harness(**settings)
     b.engines((10, 0), (12, 1), (14, 2))
     b.engines((11, 0), (13, 1), started=b.now - 1.0)
     for n in range(4):
@@ -871,11 +875,11 @@
 
 @pytest.mark.parametrize("after, writer", [(3.0, 22), (REST_MOST + 2.0, 12)])
 def test_a_writer_that_was_slow_of_late_is_passed_over_while_another_of_the_zone_was_not(
-    bench: New, after: float, writer: int
+    router_harness: New, after: float, writer: int
 ) -> None:
     """Its rest is over, but a front of many asks too seldom to find it slow again before each write. Seen on
     a calm day of ub-booking: 82 of 389 writes to one of 48 writers timed out."""
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), (12, 1), (22, 1))
     first = b.take()
     b.end(first, Outcome.PREFILLED)
@@ -889,9 +893,9 @@
 
 
 @pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
-def test_a_repeat_stays_in_its_zone_where_no_cells_are_told(bench: New, group: Group) -> None:
+def test_a_repeat_stays_in_its_zone_where_no_cells_are_told(router_harness: New, group: Group) -> None:
     """A layout without cells names none: all engines look like one cell, in whatever zone they lie."""
-    b = bench(effect=IDEMPOTENCY_KEYED, group=group)
+    b = router_harness(effect=IDEMPOTENCY_KEYED, group=group)
     b.router.begin_list_update(True)
     for number, zone, kind in ((1, 0, 0), (2, 0, 1), (3, 1, 1)):
         b.router.update_engine(number, zone, kind, 0, Health.ON, 1.0, 0.0)
@@ -905,9 +909,11 @@
     assert "send" not in [asked[0] for asked in b.asked()]
 
 
-def test_what_an_attempt_may_have_found_before_a_release_is_released_as_that_ends(bench: New) -> None:
+def test_what_an_attempt_may_have_found_before_a_release_is_released_as_that_ends(
+    router_harness: New,
+) -> None:
     """Seen in the simulator: a mixed server read anew, found the state, and ran out of time."""
-    b = bench()
+    b = router_harness()
     b.engines((10, 0), (12, 1))
     c = b.take(500)
     b.end(c, Outcome.PREFILLED)
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -12,17 +12,17 @@
 
 import pytest
 from raw_peers import (
-    Day,
-    Held,
+    FrontSetup,
+    RawConnection,
     RawClient,
     decode,
     front_node,
     prefill,
     readable,
     request,
-    run_day,
+    run_scenario,
     small_reads,
-    turns,
+    run_loop_turns,
     until,
 )
 
@@ -36,50 +36,50 @@
 
 def go(client: RawClient, how: str) -> None:
     """Send ahead and leave, while the loop is held up."""
-    client.say(NOISE)
-    client.leave(how)
+    client.send(NOISE)
+    client.disconnect(how)
     time.sleep(HOLD_UP)
 
 
 @pytest.mark.parametrize("how", GONE)
 @pytest.mark.parametrize("kept", [True, False], ids=["kept connection", "new connection"])
 def test_first_attempt(tmp_path: Path, how: str, kept: bool) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         if kept:
             await play.answer(play.client(), "c0")
-            await play.settled()
+            await play.wait_until_reusable()
         client, before = play.client(), a.posts
         with small_reads():
-            client.say(request("c1"))
+            client.send(request("c1"))
             go(client, how)
             await until(lambda: not play.node.core.live and play.node.core.tally.left == 1, "left")
-            await turns()
+            await run_loop_turns()
             assert a.posts == before
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("how", GONE)
 @pytest.mark.parametrize("kept", [True, False], ids=["kept connection", "new connection"])
 def test_hand_over_from_prefill_to_decode(tmp_path: Path, how: str, kept: bool) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         if kept:
             await play.answer(play.client(), "c0")
-            await play.settled()
+            await play.wait_until_reusable()
         client, before = play.client(), b.posts
-        client.say(request("c1"))
-        held = await a.asked(a.posts + 1)
+        client.send(request("c1"))
+        held = await a.wait_for_request(a.posts + 1)
         with small_reads():
             go(client, how)
             held.sock.sendall(READ)
             await until(lambda: not play.node.core.live, "left")
-            await turns()
+            await run_loop_turns()
             assert b.posts == before
             await until(lambda: a.deletes == 1, "the release of what was read")
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("how", GONE)
@@ -90,11 +90,11 @@
         other.state = "DRAINING"
         async with front_node(tmp_path, a, b, other) as play:
             client = play.client()
-            client.say(request("c1"))
-            (await a.asked()).sock.sendall(READ)
-            held = await b.asked()
+            client.send(request("c1"))
+            (await a.wait_for_request()).sock.sendall(READ)
+            held = await b.wait_for_request()
             other.state = "SERVING"
-            play.tell(other)
+            play.publish_entries(other)
             await until(lambda: play.node.instances.version == 2, "the change")
             with small_reads():
                 go(client, how)
@@ -103,7 +103,7 @@
                 else:
                     held.sock.sendall(WORDS[end])
                 await until(lambda: not play.node.core.live, "left")
-                await turns()
+                await run_loop_turns()
                 assert (a.posts, b.posts, other.posts) == (1, 1, 0)
 
     asyncio.run(day())
@@ -113,21 +113,21 @@
 def test_attempt_that_waits_for_a_release(tmp_path: Path, how: str) -> None:
     """A prefill that may have run is released before the next attempt, which waits for that."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client = play.client()
-        client.say(request("c1"))
-        (await a.asked()).sock.sendall(WORDS["error"])
-        release = await a.asked(1, b"DELETE")
+        client.send(request("c1"))
+        (await a.wait_for_request()).sock.sendall(WORDS["error"])
+        release = await a.wait_for_request(1, b"DELETE")
         assert a.posts == 1 and play.node.link.releases
         with small_reads():
             go(client, how)
             release.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
             await until(lambda: not play.node.core.live, "left")
-            await turns()
+            await run_loop_turns()
             assert (a.posts, b.posts) == (1, 0)
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("how", GONE)
@@ -151,19 +151,19 @@
             client = play.client()
             body = b'{"stream":true,"messages":["' + 250_000 * b"x" + b'"]}'
             head = request("c1").partition(b"\r\n\r\n")[0].rpartition(b"Content-Length")[0]
-            client.say(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
+            client.send(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
             await until(lambda: any(c.unwritten for c in connections), "a request that left in part")
-            client.leave(how)
+            client.disconnect(how)
             await asyncio.sleep(0.1)
-            held = await a.asked()  # and from now on the engine reads
+            held = await a.wait_for_request()  # and from now on the engine reads
             with suppress(OSError):
-                await until(lambda: closed(held) or len(held.got) > len(body), "the rest, or an end")
-            assert len(held.got) < len(body) and not play.node.core.live
+                await until(lambda: closed(held) or len(held.received) > len(body), "the rest, or an end")
+            assert len(held.received) < len(body) and not play.node.core.live
 
     asyncio.run(day())
 
 
-def closed(held: Held) -> bool:
+def closed(held: RawConnection) -> bool:
     """Take in what there is; whether the end has come."""
-    held.look()
+    held.read_available()
     return readable(held.sock) and not held.sock.recv(1, socket.MSG_PEEK)
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -11,12 +11,21 @@
 
 import orjson
 import pytest
-from raw_peers import Day, Held, decode, readable, request, run_day, turns, until
+from raw_peers import (
+    FrontSetup,
+    RawConnection,
+    decode,
+    readable,
+    request,
+    run_scenario,
+    run_loop_turns,
+    until,
+)
 
 from heathford.discovery.client import CallProtocol
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.process import Node
-from heathford.platform.start import told
+from heathford.platform.start import read_configuration
 from heathford.standin.platform import GOOD, READ, WORDS, Agent, settings
 
 RESTS = 0.05  # s after an answer for which its connection is not used again
@@ -24,8 +33,8 @@
 CONNECT_TIMEOUT = 0.25  # s, as the stand-in's settings have it
 
 
-def ended(held: Held) -> bool:
-    held.look()
+def ended(held: RawConnection) -> bool:
+    held.read_available()
     try:
         return readable(held.sock) and not held.sock.recv(1, socket.MSG_PEEK)
     except OSError:
@@ -48,17 +57,17 @@
 def test_a_connection_that_comes_up_as_its_time_is_over_is_used_or_closed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         connect_late(monkeypatch, play.node.loop, a.listener.getsockname()[1])
         client = play.client()
-        client.say(request("c0", budget=1500))
+        client.send(request("c0", budget=1500))
         await until(lambda: bool(client.answers) or a.posts > 0, "an attempt or an answer")
-        await turns()
-        still_open = sum(not ended(held) for held in a.held)
+        await run_loop_turns()
+        still_open = sum(not ended(held) for held in a.connections)
         assert play.node.link.pools.open == still_open
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("request_class, further", [("chat", True), ("booking", False)])
@@ -68,11 +77,11 @@
     """The request may have run for all we know: sent again only where that does no harm."""
     quiet = EngineConnection.quiet
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         await play.answer(play.client(), "c0")
-        await play.settled()
-        kept = b.held[0]
+        await play.wait_until_reusable()
+        kept = b.connections[0]
 
         def looked(self: EngineConnection) -> bool:
             found = quiet(self)
@@ -84,34 +93,34 @@
 
         monkeypatch.setattr(EngineConnection, "quiet", looked)
         client = play.client()
-        client.say(request("c1", request_class=request_class))
-        (await a.asked(2)).sock.sendall(READ)
+        client.send(request("c1", request_class=request_class))
+        (await a.wait_for_request(2)).sock.sendall(READ)
         if further:
             await until(lambda: a.posts + b.posts > 3, "a further attempt")
         else:
-            assert await client.until(1) == [502] and b.posts == 1
+            assert await client.wait_for_answers(1) == [502] and b.posts == 1
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_an_answer_that_comes_once_more_ends_the_connections_use(tmp_path: Path) -> None:
     """Later than a kept connection has settled, and before the next request is written."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client = play.client()
         await play.answer(client, "c0")
-        await play.settled()
-        client.say(request("c1"))
-        held = await a.asked(2)
-        b.held[0].sock.sendall(GOOD)  # the first answer again; nobody has asked
+        await play.wait_until_reusable()
+        client.send(request("c1"))
+        held = await a.wait_for_request(2)
+        b.connections[0].sock.sendall(GOOD)  # the first answer again; nobody has asked
         held.sock.sendall(READ)
         await until(lambda: b.posts == 2, "the write")
-        assert len(b.held) == 2 and ended(b.held[0])
-        (await b.asked(2)).sock.sendall(GOOD)
-        await until(lambda: client.whole == 2, "the stream's end")
+        assert len(b.connections) == 2 and ended(b.connections[0])
+        (await b.wait_for_request(2)).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == 2, "the stream's end")
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_an_answer_that_comes_once_more_after_the_next_request_is_not_taken_for_its_own(
@@ -119,21 +128,21 @@
 ) -> None:
     """Guards against one client's stream passed on to another. 0.03 s late, on a connection used again."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client = play.client()
-        client.say(request("c0"))
-        (await a.asked()).sock.sendall(READ)
-        first = await b.asked()
+        client.send(request("c0"))
+        (await a.wait_for_request()).sock.sendall(READ)
+        first = await b.wait_for_request()
         other = play.client()
-        other.say(request("c1"))  # read by now, so that its decode attempt follows soon
-        prefilled = await a.asked(2)
+        other.send(request("c1"))  # read by now, so that its decode attempt follows soon
+        prefilled = await a.wait_for_request(2)
         first.sock.sendall(GOOD)
-        await until(lambda: client.whole == 1, "the stream's end")
+        await until(lambda: client.whole_streams == 1, "the stream's end")
         answered_at = play.node.loop.time()
         await asyncio.sleep(LATE_AGAIN)
         prefilled.sock.sendall(READ)
-        held = await b.asked(2)
+        held = await b.wait_for_request(2)
         [sent_at] = [
             record.time
             for record in play.node.core.history.of("c1")
@@ -145,29 +154,29 @@
         await asyncio.sleep(0.05)
         if held is not first:
             held.sock.sendall(GOOD)
-            await until(lambda: other.whole == 1, "the stream's end")
-        assert b'"no"' not in other.look()
+            await until(lambda: other.whole_streams == 1, "the stream's end")
+        assert b'"no"' not in other.read_available()
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("step", ["error", "full"])
 def test_an_answer_and_the_end_of_its_connection_in_one_turn(tmp_path: Path, step: str) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client = play.client()
-        client.say(request("c0", request_class="booking"))
-        (await a.asked()).sock.sendall(READ)
-        held = await b.asked()
+        client.send(request("c0", request_class="booking"))
+        (await a.wait_for_request()).sock.sendall(READ)
+        held = await b.wait_for_request()
         held.sock.sendall(WORDS[step])
         held.sock.close()
         if step == "error":  # may have run
-            assert await client.until(1) == [502] and b.posts == 1
+            assert await client.wait_for_answers(1) == [502] and b.posts == 1
         else:
             await until(lambda: b.posts == 2, "a further attempt")
         assert play.node.link.ends.total() >= 2
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_call_to_discovery_that_is_given_up_as_it_connects_is_closed(
@@ -177,7 +186,7 @@
     made = CallProtocol.connection_made
     closed: list[CallProtocol] = []
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         watch = play.node.watch
 
@@ -194,14 +203,14 @@
             "another call",
         )
         await play.agent.until_watched()
-        await turns()
+        await run_loop_turns()
         assert closed[0].transport is not None and closed[0].transport.is_closing()
         other = decode("w2")
-        play.tell(other)
+        play.publish_entries(other)
         await until(lambda: "w2" in play.node.instances.rows, "the change")
         other.close()
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("reloads", [0, 2])
@@ -218,7 +227,7 @@
                 {"discovery": f"{host}:{port}", "limits": {"sockets": 256}, "seed": 7, "settings": settings()}
             )
         )
-        node = Node("n0", ("127.0.0.1", 0), (host, int(port)), told(path), path)
+        node = Node("n0", ("127.0.0.1", 0), (host, int(port)), read_configuration(path), path)
         running = asyncio.create_task(node.run())
         await until(lambda: agent.connected > 0, "the first call")
         for _ in range(reloads):
--- a/tests/test_races_read_answered.py
+++ b/tests/test_races_read_answered.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, RawClient, answer_releases, request, run_day, turns, until
+from raw_peers import FrontSetup, RawClient, answer_releases, request, run_scenario, run_loop_turns, until
 
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.client_server import EVICTION_LOOKS, FIRST, IDLE, STILL_ASKED
@@ -42,12 +42,12 @@
     monkeypatch.setattr(owner, name, patched)
 
 
-async def serve(day: Day, count: int = 1) -> None:
+async def serve(day: FrontSetup, count: int = 1) -> None:
     """Both engines answer so many requests, one after the other."""
     reader, writer = day.engines
     for n in range(1, count + 1):
-        (await reader.asked(n)).sock.sendall(READ)
-        (await writer.asked(n)).sock.sendall(GOOD)
+        (await reader.wait_for_request(n)).sock.sendall(READ)
+        (await writer.wait_for_request(n)).sock.sendall(GOOD)
 
 
 # Room for new connections.
@@ -59,51 +59,55 @@
     """A new connection makes room in the moment between an answer and the next request's turn."""
     after(monkeypatch, ClientConnection, "answer", lambda connection: connection.clients.make_room())
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
-        client.say(request("c0") + request("c1"))
+        client.send(request("c0") + request("c1"))
         await serve(play, 2)
-        assert await client.until(2) == [200, 200]
-        await until(lambda: client.whole == 2, "both streams")
+        assert await client.wait_for_answers(2) == [200, 200]
+        await until(lambda: client.whole_streams == 2, "both streams")
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("first", [b"", request("c1")[:1]], ids=["nothing", "a byte"])
 def test_a_connection_on_which_a_request_lies_unread_is_not_evicted(tmp_path: Path, first: bytes) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
-        client.say(first)
-        await turns()
-        client.say(request("c1")[len(first) :])
+        client.send(first)
+        await run_loop_turns()
+        client.send(request("c1")[len(first) :])
         assert not play.node.clients.make_room()
         await until(lambda: play.engines[0].posts == 2, "the request")
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_half_a_request_is_told_why_it_is_evicted_and_goes_last(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         idle, half, fresh = play.client(), play.client(), play.client()
         await play.answer(idle, "c0")
-        half.say(HALF)
-        await turns()
+        half.send(HALF)
+        await run_loop_turns()
         server = play.node.clients
-        assert server.make_room() and await idle.until_closed() == idle.got  # answered and stays: first
+        assert (
+            server.make_room() and await idle.wait_until_closed() == idle.received
+        )  # answered and stays: first
         for _ in range(2):
             assert server.make_room()
         assert not server.make_room()
-        assert await half.until(1) == [503] and (await half.until_closed()).endswith(b"slow\n")
-        assert await fresh.until_closed() == b""
+        assert await half.wait_for_answers(1) == [503] and (await half.wait_until_closed()).endswith(
+            b"slow\n"
+        )
+        assert await fresh.wait_until_closed() == b""
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_an_answer_on_its_way_is_not_evicted(tmp_path: Path) -> None:
     """A client reads slowly: what was written for it still lies here when room is needed."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
         connection = next(iter(play.node.clients.connections))
@@ -112,7 +116,7 @@
             connection.write(100_000 * b"x")
         assert not play.node.clients.make_room()
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("unread", [0, 1, 40])
@@ -123,15 +127,15 @@
     looks: list[ClientConnection] = []
     before(monkeypatch, ClientConnection, "evict", looks.append)
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         clients = [play.client() for _ in range(80)]
         await until(lambda: len(play.node.clients.connections) == 80, "the connections")
         for client in clients[:unread]:
-            client.say(HALF)
+            client.send(HALF)
         made = play.node.clients.make_room()
         assert len(looks) == min(unread + 1, EVICTION_LOOKS) and made == (unread < EVICTION_LOOKS)
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 # Connections that idle.
@@ -139,46 +143,48 @@
 
 @pytest.mark.parametrize("since", [IDLE, 10 * IDLE])
 def test_a_request_that_crosses_the_idle_time_out_is_served(tmp_path: Path, since: float) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
-        client.say(request("c1"))
+        client.send(request("c1"))
         play.node.clients.sweep(play.node.loop.time() + since)
         await until(lambda: play.engines[0].posts == 2, "the request")
-        (await play.engines[0].asked(2)).sock.sendall(READ)
-        (await play.engines[1].asked(2)).sock.sendall(GOOD)
-        assert await client.until(2) == [200, 200]
+        (await play.engines[0].wait_for_request(2)).sock.sendall(READ)
+        (await play.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        assert await client.wait_for_answers(2) == [200, 200]
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_first_request_that_crosses_its_time_out_is_served(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await until(lambda: len(play.node.clients.connections) == 1, "the connection")
-        client.say(request("c0"))
+        client.send(request("c0"))
         play.node.clients.sweep(play.node.loop.time() + FIRST)
         await serve(play)
-        assert await client.until(1) == [200]
+        assert await client.wait_for_answers(1) == [200]
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_half_a_request_gets_its_status(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
-        client.say(HALF)
-        await turns()
+        client.send(HALF)
+        await run_loop_turns()
         play.node.clients.sweep(play.node.loop.time() + 10 * FIRST)
-        assert await client.until(1) == [408] and (await client.until_closed()).endswith(b"time\n")
+        assert await client.wait_for_answers(1) == [408] and (await client.wait_until_closed()).endswith(
+            b"time\n"
+        )
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 # The end of the process.
 
 
-async def ending(play: Day) -> "asyncio.Task[None]":
+async def ending(play: FrontSetup) -> "asyncio.Task[None]":
     play.node.terminate()
     return asyncio.create_task(play.node.end())
 
@@ -188,58 +194,58 @@
 ) -> None:
     """The process ends. The next request comes on a connection in the moment in which its answer is over."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
-        client.say(request("c0"))
-        held = await play.engines[0].asked()
+        client.send(request("c0"))
+        held = await play.engines[0].wait_for_request()
         said: list[None] = []
 
         def ask_on(connection: ClientConnection) -> None:
             if not said:
                 said.append(None)
-                client.say(request("c1"))
+                client.send(request("c1"))
 
         before(monkeypatch, ClientConnection, "finished", ask_on)
         end = await ending(play)
         held.sock.sendall(READ)
-        (await play.engines[1].asked()).sock.sendall(GOOD)
-        (await play.engines[0].asked(2)).sock.sendall(READ)
-        (await play.engines[1].asked(2)).sock.sendall(GOOD)
-        assert await client.until(2) == [200, 200]
-        await until(lambda: client.whole == 2, "both streams")
+        (await play.engines[1].wait_for_request()).sock.sendall(GOOD)
+        (await play.engines[0].wait_for_request(2)).sock.sendall(READ)
+        (await play.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        assert await client.wait_for_answers(2) == [200, 200]
+        await until(lambda: client.whole_streams == 2, "both streams")
         client.sock.close()
         await end
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_request_that_crosses_the_shutdown_of_an_idle_connection_is_served(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
         play.node.clients.stop()
-        client.say(request("c1"))
+        client.send(request("c1"))
         play.node.clients.close_idle()
-        (await play.engines[0].asked(2)).sock.sendall(READ)
-        (await play.engines[1].asked(2)).sock.sendall(GOOD)
-        assert await client.until(2) == [200, 200]
-        assert client.whole == 2 and (await client.until_closed()).count(b"HTTP/1.1") == 2
+        (await play.engines[0].wait_for_request(2)).sock.sendall(READ)
+        (await play.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        assert await client.wait_for_answers(2) == [200, 200]
+        assert client.whole_streams == 2 and (await client.wait_until_closed()).count(b"HTTP/1.1") == 2
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_what_is_read_after_the_shutdown_is_not_sent_on_and_resets_nothing(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
         play.node.clients.stop()
         play.node.clients.close_idle()
-        client.say(request("c1"))
-        assert b"<reset>" not in await client.until_closed()
-        await turns()
+        client.send(request("c1"))
+        assert b"<reset>" not in await client.wait_until_closed()
+        await run_loop_turns()
         assert play.engines[0].posts == 1
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_connections_that_wait_to_be_accepted_at_the_end_are_answered(
@@ -249,59 +255,59 @@
 
     Seen: its connection was reset with its request unread."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         late: list[RawClient] = []
 
         def come(node: Node) -> None:
             if not late:
                 late.append(play.client())
-                late[0].say(request("c0"))
+                late[0].send(request("c0"))
 
         before(monkeypatch, Node, "idle", come)
         end = await ending(play)
         await until(lambda: bool(late), "the last look")
-        assert await late[0].until(1) == [503]
+        assert await late[0].wait_for_answers(1) == [503]
         late[0].sock.close()
         await end
         assert play.engines[0].posts == 0
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_what_comes_later_than_clients_may_ask_is_refused(tmp_path: Path) -> None:
     """A process may be killed 0.7 s after the longest deadline: a request taken later than that after SIGTERM
     might be out then. A stream that is open when it comes is passed on to its end first."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         releases = asyncio.create_task(answer_releases(*play.engines))
-        held = await play.decoding(client)
+        held = await play.submit_until_decode(client)
         end = await ending(play)
         await asyncio.sleep(STILL_ASKED + 0.02)
         releases.cancel()
-        client.say(request("c1"))
-        await turns()
+        client.send(request("c1"))
+        await run_loop_turns()
         held.sock.sendall(GOOD)
-        assert await client.until(2) == [200, 503]
-        assert client.whole == 1 and play.engines[0].posts == 1
+        assert await client.wait_for_answers(2) == [200, 503]
+        assert client.whole_streams == 1 and play.engines[0].posts == 1
         client.sock.close()
         await end
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_an_open_stream_goes_on_to_its_end_after_sigterm(tmp_path: Path) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
-        held = await play.decoding(client)
+        held = await play.submit_until_decode(client)
         for part in range(0, len(GOOD), 60):
             held.sock.sendall(GOOD[part : part + 60])
-            await turns(3)
+            await run_loop_turns(3)
             if not part:
                 end = await ending(play)
-        await until(lambda: client.whole == 1, "the stream's end")
-        assert all(event in client.got for event in EVENTS)
+        await until(lambda: client.whole_streams == 1, "the stream's end")
+        assert all(event in client.received for event in EVENTS)
         client.sock.close()
         await end
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, request, run_day, until
+from raw_peers import FrontSetup, request, run_scenario, until
 
 from heathford.event_loop import RetryingEpoll, RetryingSocket, new_event_loop
 from heathford.standin.platform import GOOD, READ
@@ -48,15 +48,15 @@
     monkeypatch.setattr(socket.socket, name, refused)
 
 
-async def serve_some(play: Day) -> None:
+async def serve_some(play: FrontSetup) -> None:
     """Requests one after another on a connection, each streamed whole, and no engine blamed."""
     a, b = play.engines
     client = play.client()
     for number in range(REQUESTS):
-        client.say(request(f"c{number}"))
-        (await a.asked(number + 1)).sock.sendall(READ)
-        (await b.asked(number + 1)).sock.sendall(GOOD)
-        await until(lambda number=number: client.whole == number + 1, f"stream {number}")  # type: ignore[misc]
+        client.send(request(f"c{number}"))
+        (await a.wait_for_request(number + 1)).sock.sendall(READ)
+        (await b.wait_for_request(number + 1)).sock.sendall(GOOD)
+        await until(lambda number=number: client.whole_streams == number + 1, f"stream {number}")  # type: ignore[misc]
     assert client.answers == REQUESTS * [200]
     assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
     assert (a.posts, b.posts) == (REQUESTS, REQUESTS)
@@ -67,13 +67,13 @@
 ) -> None:
     """Seen before: the event loop's transports take every such error for the end of the connection."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         ports = {engine.listener.getsockname()[1] for engine in play.engines}
         for name in ("send", "recv"):
             refuse(monkeypatch, name, ports, play.node.listen[1])
         await serve_some(play)
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 class FailingEpoll:
@@ -106,7 +106,7 @@
 ) -> None:
     monkeypatch.setattr(select, "epoll", FailingEpoll)
     monkeypatch.setattr(selectors.EpollSelector, "_selector_cls", FailingEpoll)  # of asyncio's own loop
-    run_day(tmp_path, serve_some)
+    run_scenario(tmp_path, serve_some)
 
 
 def test_a_connect_that_the_system_puts_off_is_made_again(
@@ -114,7 +114,7 @@
 ) -> None:
     """EAGAIN of connect(2): nothing is on its way, where the event loop waits for it, and finds it there."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         ports = {engine.listener.getsockname()[1] for engine in play.engines}
         connect, left = socket.socket.connect, 3
 
@@ -127,14 +127,14 @@
 
         monkeypatch.setattr(socket.socket, "connect", put_off)
         client = play.client()
-        client.say(request("c0", request_class="booking"))
-        (await play.engines[0].asked()).sock.sendall(READ)
-        (await play.engines[1].asked()).sock.sendall(GOOD)
-        await until(lambda: client.whole == 1, "the stream's end")
+        client.send(request("c0", request_class="booking"))
+        (await play.engines[0].wait_for_request()).sock.sendall(READ)
+        (await play.engines[1].wait_for_request()).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == 1, "the stream's end")
         assert not left
         assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_descriptor_is_watched_and_forgotten_once_the_system_lets_it(
--- a/tests/test_release_load.py
+++ b/tests/test_release_load.py
@@ -4,7 +4,7 @@
 from collections import Counter
 from pathlib import Path
 
-from raw_peers import Day, Held, RawEngine, decode, prefill, request, run_day
+from raw_peers import FrontSetup, RawConnection, RawEngine, decode, prefill, request, run_scenario
 
 from heathford.platform.silent_engines import REMEMBERED, SILENT_AFTER, SilentEngines
 from heathford.standin.platform import READ
@@ -17,13 +17,13 @@
 SEARCH = 48  # those that all states together may cost: each engine is tried once a second
 
 
-async def read_all(engines: list[RawEngine], answered: Counter[Held]) -> None:
+async def read_all(engines: list[RawEngine], answered: Counter[RawConnection]) -> None:
     """Answer each prefill attempt, and no release. answered: how many, by connection."""
     while True:
         for engine in engines:
             if engine.posts:
-                for held in engine.held:
-                    while answered[held] < held.got.count(b"POST /"):
+                for held in engine.connections:
+                    while answered[held] < held.received.count(b"POST /"):
                         answered[held] += 1
                         held.sock.sendall(READ)
         await asyncio.sleep(0.002)
@@ -37,11 +37,11 @@
     prefills = [prefill(f"r{number}") for number in range(PREFILLS)]
     decodes = [decode(f"w{number}") for number in range(DECODES)]
 
-    async def day(play: Day) -> None:
-        states = Counter[Held]()
+    async def day(play: FrontSetup) -> None:
+        states = Counter[RawConnection]()
         reading = asyncio.create_task(read_all(prefills, states))
         for number in range(REQUESTS):
-            play.client().say(request(f"c{number}", request_class="booking"))
+            play.client().send(request(f"c{number}", request_class="booking"))
             await asyncio.sleep(APART)
         await asyncio.sleep(WATCHED)
         reading.cancel()
@@ -49,7 +49,7 @@
         assert REQUESTS / 2 <= states.total() <= releases <= EACH * states.total() + SEARCH
 
     try:
-        run_day(tmp_path, day, *prefills, *decodes, sockets=1_024)
+        run_scenario(tmp_path, day, *prefills, *decodes, sockets=1_024)
     finally:
         held_only = all(what.startswith("HELD") for what in no_violations)
         no_violations.clear()  # nobody confirms a release here, and the gate tells so
--- a/tests/test_repeat_beside_silence.py
+++ b/tests/test_repeat_beside_silence.py
@@ -4,8 +4,17 @@
 from pathlib import Path
 from time import monotonic
 
-from raw_peers import Day, Held, RawEngine, answer_releases, decode, prefill, readable, request
-from raw_peers import run_day, until
+from raw_peers import (
+    FrontSetup,
+    RawConnection,
+    RawEngine,
+    answer_releases,
+    decode,
+    prefill,
+    readable,
+    request,
+)
+from raw_peers import run_scenario, until
 from test_repeat_read_late import WINDOW, add_orders
 
 from heathford.standin.platform import READ
@@ -17,7 +26,7 @@
 
 def has_unread(engine: RawEngine) -> bool:
     """Something has come that the engine has not read."""
-    return readable(engine.listener) or any(readable(held.sock) for held in engine.held)
+    return readable(engine.listener) or any(readable(held.sock) for held in engine.connections)
 
 
 class Running:
@@ -40,18 +49,18 @@
         while True:
             if engine.posts > reads:
                 reads += 1
-                (await engine.asked(reads)).sock.sendall(READ)
+                (await engine.wait_for_request(reads)).sock.sendall(READ)
             await asyncio.sleep(0.002)
 
 
-async def attempt_at(play: Day, name: str) -> tuple[RawEngine, RawEngine, Held]:
+async def attempt_at(play: FrontSetup, name: str) -> tuple[RawEngine, RawEngine, RawConnection]:
     """The engine that reads the decode attempt of that request, the other one, and the connection."""
     writers = play.engines[1:]
 
-    def holds(engine: RawEngine) -> Held | None:
+    def holds(engine: RawEngine) -> RawConnection | None:
         engine.count(b"POST")
         mark = f"X-Call-Id: {name}\r\n".encode()
-        return next((held for held in engine.held if mark in held.got), None)
+        return next((held for held in engine.connections if mark in held.received), None)
 
     await until(lambda: any(holds(writer) for writer in writers), f"the attempt of {name}")
     first = next(writer for writer in writers if holds(writer))
@@ -63,12 +72,12 @@
 def test_a_repeat_does_not_lie_unread_at_a_stopped_engine_while_the_first_one_runs(tmp_path: Path) -> None:
     """The first engine has run it and lost its answer; the one of the repeat is stopped."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader = play.engines[0]
         client = play.client()
         await play.answer_anywhere(client, "c0")
         async with Running(reader):
-            client.say(request("c1", request_class="order"))
+            client.send(request("c1", request_class="order"))
             first, stopped, held = await attempt_at(play, "c1")
             ran_at = monotonic()
             held.sock.close()
@@ -81,18 +90,18 @@
                     await asyncio.sleep(0.005)
             assert stopped.posts == before
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
 
 
 def test_no_repeat_while_the_first_attempt_lies_unread(tmp_path: Path) -> None:
     """The first engine is stopped before it reads the attempt; the other one runs."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader, *writers = play.engines
         client = play.client()
         await play.answer_anywhere(client, "c0")
         async with Running(reader):
-            client.say(request("c1", request_class="order"))
+            client.send(request("c1", request_class="order"))
             await until(lambda: any(has_unread(writer) for writer in writers), "the attempt")
             sent_at = monotonic()
             stopped = next(writer for writer in writers if has_unread(writer))
@@ -101,66 +110,69 @@
             async with Running(other):
                 while monotonic() < sent_at + WINDOW + LATER:
                     await asyncio.sleep(0.005)
-            assert b"X-Call-Id: c1\r\n" in b"".join(held.look() for held in stopped.held) or stopped.posts
+            assert (
+                b"X-Call-Id: c1\r\n" in b"".join(held.read_available() for held in stopped.connections)
+                or stopped.posts
+            )
             assert other.posts == before
-            await client.until(2)
+            await client.wait_for_answers(2)
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_it_is_not_repeated_though_all_engines_go_on_in_time(tmp_path: Path) -> None:
     """They answer again within the window; the client is told at once that a new try does no harm."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader, *writers = play.engines
         client = play.client()
         await play.answer_anywhere(client, "c0")
         async with Running(reader):
-            client.say(request("c1", request_class="order"))
+            client.send(request("c1", request_class="order"))
             _, _, held = await attempt_at(play, "c1")
             before = [writer.posts for writer in writers]
             held.sock.close()
             closed_at = monotonic()
-            await client.until(2)
+            await client.wait_for_answers(2)
             assert monotonic() < closed_at + AT_ONCE and client.answers[1] == 503
             async with Running(*writers):
                 await asyncio.sleep(WINDOW / 3)
                 assert [writer.posts for writer in writers] == before
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_it_is_not_repeated_where_the_first_engine_is_gone(tmp_path: Path) -> None:
     """Its process has ended and reads nothing later, but a repeat elsewhere could be read late."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader = play.engines[0]
         client = play.client()
         await play.answer_anywhere(client, "c0")
         async with Running(reader):
-            client.say(request("c1", request_class="order"))
+            client.send(request("c1", request_class="order"))
             first, other, _ = await attempt_at(play, "c1")
             before = other.posts
             first.close()
             closed_at = monotonic()
-            await client.until(2)
+            await client.wait_for_answers(2)
             assert monotonic() < closed_at + AT_ONCE and client.answers[1] == 503
             async with Running(other):
                 await asyncio.sleep(WINDOW / 3)
                 assert other.posts == before
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
 
 
 def test_a_repeat_is_not_read_late_by_an_engine_that_stops_right_after_its_answer(tmp_path: Path) -> None:
     """What is left: an engine that answers, and is stopped before the repeat which follows comes to it."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader = play.engines[0]
         client = play.client()
         await play.answer_anywhere(client, "c0")
         async with Running(reader):
-            client.say(request("c1", request_class="order"))
+            client.send(request("c1", request_class="order"))
             first, other, held = await attempt_at(play, "c1")
             ran_at = monotonic()
             held.sock.close()
@@ -176,4 +188,4 @@
                     await asyncio.sleep(0.005)
             assert other.posts == before
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders, tryLimit=TRIES)
--- a/tests/test_repeat_read_late.py
+++ b/tests/test_repeat_read_late.py
@@ -5,7 +5,7 @@
 from time import monotonic
 from typing import Any
 
-from raw_peers import Day, answer_releases, decode, prefill, request, run_day, until
+from raw_peers import FrontSetup, answer_releases, decode, prefill, request, run_scenario, until
 
 from heathford.standin.platform import READ, SECOND
 
@@ -29,12 +29,12 @@
 def test_a_repeat_is_not_read_after_the_window_by_an_engine_that_was_stopped(tmp_path: Path) -> None:
     """The front node closes it, but what the engine's machine has taken is read once the engine goes on."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         reader, *writers = play.engines
         releases = asyncio.create_task(answer_releases(reader))
         client = play.client()
-        client.say(request("c0", request_class="order"))
-        (await reader.asked()).sock.sendall(READ)
+        client.send(request("c0", request_class="order"))
+        (await reader.wait_for_request()).sock.sendall(READ)
         await until(lambda: any(writer.posts for writer in writers), "the first attempt")
         ran_at = monotonic()
         stopped = next(writer for writer in writers if not writer.posts)
@@ -42,9 +42,9 @@
         while monotonic() < ran_at + WINDOW:  # the stopped engine reads nothing meanwhile
             if reader.posts > reads:
                 reads += 1
-                (await reader.asked(reads)).sock.sendall(READ)
+                (await reader.wait_for_request(reads)).sock.sendall(READ)
             await asyncio.sleep(0.005)
         releases.cancel()
         assert stopped.posts == 0
 
-    run_day(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
+    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -37,18 +37,18 @@
         ):
             for play, foreign in ((one, "order"), (two, "chat")):
                 client = play.client()
-                client.say(request("f0", request_class=foreign))
-                assert await client.until(1) == [400]
+                client.send(request("f0", request_class=foreign))
+                assert await client.wait_for_answers(1) == [400]
             for play, mine in ((one, "chat"), (two, "order")):
                 reader, writer = play.engines[:2]
                 client = play.client()
-                client.say(request("c0", request_class=mine))
-                (await reader.asked()).sock.sendall(READ)
-                (await writer.asked()).sock.sendall(WORDS["error"])
+                client.send(request("c0", request_class=mine))
+                (await reader.wait_for_request()).sock.sendall(READ)
+                (await writer.wait_for_request()).sock.sendall(WORDS["error"])
                 if play is one:  # may run again
                     await until(lambda: a.posts + b.posts == 3, "a further attempt")
                 else:
-                    assert await client.until(1) == [502] and c.posts + d.posts == 2
+                    assert await client.wait_for_answers(1) == [502] and c.posts + d.posts == 2
             assert one.node.core.router.try_limit == 4 and two.node.core.router.try_limit == 2
             assert two.node.core.router.retry_after == 0.0 < one.node.core.router.retry_after
             # What one learns of an engine of the same name and number is not known to the other.
--- a/tests/test_signals_unwoken.py
+++ b/tests/test_signals_unwoken.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 from time import monotonic
 
-from node_processes import node_process, until_said
+from node_processes import node_process, wait_for_log
 
 from heathford.child_signals import send_signal
 
@@ -30,10 +30,10 @@
 
     async def day() -> None:
         async with node_process(tmp_path, "-c", UNWOKEN) as process, asyncio.timeout(10.0):
-            await until_said(process, b'"ready"')
+            await wait_for_log(process, b'"ready"')
             await asyncio.sleep(0.5)
             send_signal(process, signal.SIGHUP)
-            await until_said(process, b'"configuration read"')
+            await wait_for_log(process, b'"configuration read"')
             began = monotonic()
             send_signal(process, signal.SIGTERM)
             assert await process.wait() == 0
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, RawClient, RawEngine, decode, prefill, request, run_day, until
+from raw_peers import FrontSetup, RawClient, RawEngine, decode, prefill, request, run_scenario, until
 
 from heathford.standin.platform import GOOD, READ
 
@@ -98,7 +98,7 @@
 
 
 @asynccontextmanager
-async def paced(play: Day, *rates: Rate) -> AsyncIterator[list[PacedEngine]]:
+async def paced(play: FrontSetup, *rates: Rate) -> AsyncIterator[list[PacedEngine]]:
     engines = [PacedEngine(engine, rate) for engine, rate in zip(play.engines, rates, strict=True)]
     accepting = [asyncio.create_task(engine.accept()) for engine in engines]
     try:
@@ -108,7 +108,7 @@
             task.cancel()
 
 
-async def ask(play: Day, name: str, size: int, request_class: str = "chat") -> tuple[RawClient, float]:
+async def ask(play: FrontSetup, name: str, size: int, request_class: str = "chat") -> tuple[RawClient, float]:
     """The client, and when it gives up."""
     client = play.client()
     client.sock.setblocking(False)
@@ -138,13 +138,13 @@
 ) -> None:
     """Guards against slow taken for cut: no engine ever had such a prompt whole."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         async with paced(play, *4 * [steady(rate * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", size, request_class)
-            assert await client.until(1) == [200] and monotonic() < gives_up_at
+            assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
 
-    run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 @pytest.mark.parametrize(
@@ -155,13 +155,13 @@
 ) -> None:
     """Guards against the same where no state sets a limit: also over links that are slower still."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         async with paced(play, *2 * [steady(rate * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", size)
-            assert await client.until(1) == [200] and monotonic() < gives_up_at
+            assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
 
-    run_day(tmp_path, day, decode("c"), decode("c2"), setting=combined)
+    run_scenario(tmp_path, day, decode("c"), decode("c2"), setting=combined)
 
 
 @pytest.mark.parametrize("slow", [0, 1], ids=["prefill", "decode"])
@@ -169,14 +169,14 @@
     """Guards against a slow link that all requests come to again, and against one that closes others."""
     rates = [steady((0.1 if place == slow else 40) * MEGABYTE) for place in range(4)]
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         async with paced(play, *rates) as engines:
             for number in range(6):
                 client, gives_up_at = await ask(play, f"c{number}", 250_000)
-                assert await client.until(1) == [200] and monotonic() < gives_up_at
+                assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
 
-    run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 def test_a_link_that_turns_slow_half_way(tmp_path: Path) -> None:
@@ -185,14 +185,14 @@
     def turns_slow(came: int) -> float:
         return 8 * MEGABYTE if came < 120_000 else 0.7 * MEGABYTE
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         async with paced(play, *4 * [turns_slow]) as engines:
             for number in range(2):
                 client, gives_up_at = await ask(play, f"c{number}", 250_000)
-                assert await client.until(1) == [200] and monotonic() < gives_up_at
+                assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
 
-    run_day(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 @pytest.mark.parametrize("place", [0, 1], ids=["prefill", "decode"])
@@ -204,7 +204,7 @@
 
     cut_ones = [play_place % 2 == place for play_place in range(2)]
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         rates = [cut if is_cut else steady(8 * MEGABYTE) for is_cut in cut_ones]
         async with paced(play, *rates) as engines:
             _, gives_up_at = await ask(play, "c0", 250_000, "booking")
@@ -214,19 +214,19 @@
             assert monotonic() < begun + CUT_SEEN_WITHIN
             assert not engines[place].arrivals
 
-    run_day(tmp_path, day, prefill(), decode())
+    run_scenario(tmp_path, day, prefill(), decode())
 
 
 def test_what_no_link_can_carry_in_time_is_answered_after_few_tries(tmp_path: Path) -> None:
     """Guards against as many tries as there are engines; the client is told why, and not to come again."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         async with paced(play, *8 * [steady(0.03 * MEGABYTE)]) as engines:
             client, gives_up_at = await ask(play, "c0", 250_000)
-            assert await client.until(1) == [503] and monotonic() < gives_up_at - BUDGET / 2
-            assert b"its prompt can't reach an engine in its time" in client.look()
-            assert b"Retry-After" not in client.look()
+            assert await client.wait_for_answers(1) == [503] and monotonic() < gives_up_at - BUDGET / 2
+            assert b"its prompt can't reach an engine in its time" in client.read_available()
+            assert b"Retry-After" not in client.read_available()
             assert sum(len(engine.begun) for engine in engines) <= 2
             assert not any(engine.arrivals for engine in engines)
 
-    run_day(tmp_path, day, *[prefill(f"r{n}") for n in range(4)], *[decode(f"w{n}") for n in range(4)])
+    run_scenario(tmp_path, day, *[prefill(f"r{n}") for n in range(4)], *[decode(f"w{n}") for n in range(4)])
--- a/tests/test_slow_send.py
+++ b/tests/test_slow_send.py
@@ -14,7 +14,7 @@
 from time import monotonic
 
 import pytest
-from raw_peers import Day, RawEngine, answer_releases, decode, prefill, request, run_day
+from raw_peers import FrontSetup, RawEngine, answer_releases, decode, prefill, request, run_scenario
 from test_attempt_left_in_kernel import is_whole
 
 from heathford.standin.platform import READ
@@ -51,17 +51,17 @@
                 arrivals.append(monotonic() - began)
             await asyncio.sleep(STEP)
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         arrivals: list[float] = []
         play.engines[place].listener.setblocking(False)
         reading = asyncio.create_task(read_in_steps(play.engines[place], arrivals))
         client = play.client()
-        client.say(request("c0", request_class=request_class, size=LARGE))
+        client.send(request("c0", request_class=request_class, size=LARGE))
         if place:
             releases = asyncio.create_task(answer_releases(play.engines[0]))
-            held = await play.engines[0].asked()
+            held = await play.engines[0].wait_for_request()
             while not is_whole(held):
-                held.look()
+                held.read_available()
                 await asyncio.sleep(0.002)
             held.sock.sendall(READ)
         await asyncio.sleep(1.0)
@@ -70,4 +70,4 @@
             releases.cancel()
         assert not [late for late in arrivals if late > SLACK], arrivals
 
-    run_day(tmp_path, day, *engines)
+    run_scenario(tmp_path, day, *engines)
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -9,7 +9,7 @@
 from typing import Any
 
 import pytest
-from raw_peers import Day, request, run_day, until
+from raw_peers import FrontSetup, request, run_scenario, until
 
 from heathford.standin.platform import GOOD, READ
 
@@ -21,7 +21,7 @@
 def test_a_moment_without_room_does_not_stop_accepting(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         left, accept = FAILURES, socket.socket.accept
 
         def failing(self: socket.socket) -> Any:
@@ -34,18 +34,18 @@
         monkeypatch.setattr(socket.socket, "accept", failing)
         began = time.monotonic()
         client = play.client()
-        client.say(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
-        assert await client.until(1) == [200]
+        client.send(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
+        assert await client.wait_for_answers(1) == [200]
         assert time.monotonic() - began < 0.5
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 @pytest.mark.parametrize("number", LOCAL)
 def test_trouble_of_our_own_in_a_connect_is_not_laid_at_the_engine(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
 ) -> None:
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         left, connect = 2, play.node.loop.create_connection
 
@@ -58,15 +58,15 @@
 
         monkeypatch.setattr(play.node.loop, "create_connection", failing)
         client = play.client()
-        client.say(request("c0"))
-        (await a.asked()).sock.sendall(READ)
-        (await b.asked()).sock.sendall(GOOD)
-        await until(lambda: client.whole == 1, "the stream's end")
+        client.send(request("c0"))
+        (await a.wait_for_request()).sock.sendall(READ)
+        (await b.wait_for_request()).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == 1, "the stream's end")
         assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
         pools = play.node.link.pools
         assert not pools.open - sum(len(pool.idle) for pool in pools.pools.values())
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_asyncio_still_knows_the_delay_that_is_set() -> None:
@@ -90,23 +90,23 @@
 ) -> None:
     """Guards against a request that waits for its last resort, as nothing could be learnt of its client."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         a, b = play.engines
         client = play.client()
-        client.say(request("c0"))
+        client.send(request("c0"))
         await until(lambda: bool(play.node.clients.open), "the request")
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             for _ in range(20):
                 await asyncio.sleep(0.01)
-        (await a.asked()).sock.sendall(READ)
+        (await a.wait_for_request()).sock.sendall(READ)
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             await asyncio.sleep(0.1)
-        (await b.asked()).sock.sendall(GOOD)
-        await until(lambda: client.whole == 1, "the stream's end")
+        (await b.wait_for_request()).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == 1, "the stream's end")
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_process_ends_in_order_while_looks_at_sockets_fail(
@@ -114,7 +114,7 @@
 ) -> None:
     """Guards against an end that is broken off: what was taken would be lost."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client = play.client()
         await play.answer(client, "c0")
         play.node.terminate()
@@ -125,13 +125,13 @@
             assert not ending.done()  # nothing is known of what may lie unread: it goes on
         await asyncio.wait_for(ending, 2.0)
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
 
 
 def test_a_process_ends_in_order_where_a_client_resets_in_the_moment_of_a_shutdown(tmp_path: Path) -> None:
     """Guards against an end that one connection breaks off: ENOTCONN after a look that found it whole."""
 
-    async def day(play: Day) -> None:
+    async def day(play: FrontSetup) -> None:
         client, other = play.client(), play.client()
         await play.answer(client, "c0")
         await play.answer(other, "c1")
@@ -145,4 +145,4 @@
         await asyncio.wait_for(play.node.end(), 3.0)
         assert not play.node.clients.connections
 
-    run_day(tmp_path, day)
+    run_scenario(tmp_path, day)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,7 +1,7 @@
 """Long sends: how they are followed, what they teach, and what the policy makes of it."""
 
 import pytest
-from conftest import Bench
+from conftest import RouterHarness
 
 from heathford.interface import PART_ARRIVED, GiveUpReason, Outcome
 from heathford.policy.transfer import (
@@ -113,7 +113,7 @@
 def test_a_long_prompt_is_not_read_for_a_writer_that_it_can_not_reach_in_time() -> None:
     """Guards against a state that is released before its prompt has come."""
     rates = known(2e5, 100.0, WRITER[0])
-    b = Bench(transfers=rates)
+    b = RouterHarness(transfers=rates)
     b.engines(READER, WRITER)
     c = b.take(size=SIZE)
     assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
@@ -129,7 +129,7 @@
 
 
 def test_two_slow_engines_of_a_role_end_it_and_one_does_not() -> None:
-    b = Bench()
+    b = RouterHarness()
     b.engines(READER, (11, 0), (15, 0), WRITER)
     c = b.take(size=SIZE)
     b.end(c, Outcome.UNREACHABLE, detail=PART_ARRIVED)
@@ -140,7 +140,7 @@
 
 def test_an_engine_that_was_slow_is_asked_again_with_what_was_learned() -> None:
     """Guards against a healthy engine that is set aside for being slow."""
-    b = Bench(transfers=(rates := TransferRates()))
+    b = RouterHarness(transfers=(rates := TransferRates()))
     b.engines(READER, WRITER)
     c = b.take(size=SIZE)
     rates.observe(sent(READER[0], 8e5), b.now)
