--- a/heathford/client/batches.py
+++ b/heathford/client/batches.py
@@ -13,7 +13,7 @@
 from tornado.tcpclient import TCPClient
 
 from heathford.client.answers import Aborted, BadRequest, NoFront
-from heathford.wire.http1 import NonsenseError, Response
+from heathford.wire.http1 import MalformedMessageError, Response
 
 CONNECT = 2.0  # s
 SILENCE = 60.0  # s that a front may say nothing: it syncs an upload before it answers
@@ -214,7 +214,7 @@
             if send:
                 await send(stream)
             await self.answer(stream, keep)
-        except (StreamClosedError, NonsenseError, TimeoutError) as problem:
+        except (StreamClosedError, MalformedMessageError, TimeoutError) as problem:
             raise Aborted(f"the connection was lost: {problem!r}") from None
         finally:
             stream.close()
--- a/heathford/client/http.py
+++ b/heathford/client/http.py
@@ -13,7 +13,7 @@
 from heathford.client.answers import BadRequest
 from heathford.client.base import Client, TroubleError
 from heathford.client.retry import Trouble
-from heathford.wire.http1 import EventStream, NonsenseError, Response, json_object, request
+from heathford.wire.http1 import EventStream, MalformedMessageError, Response, json_object, encode_request
 
 CONNECT = 1.0  # s in which a front that is there takes a connection
 GRACE = 0.5  # s beyond its time in which the front's own answer may still come
@@ -53,7 +53,7 @@
     ) -> tuple[str, str, Any]:
         body = {k: v for k, v in params.items() if k != "idempotency_key"}
         body |= {"timeout": timeout, "stream": True, "stream_options": {"include_usage": True}}
-        data = request(
+        data = encode_request(
             "POST",
             "/v1/completions",
             urlsplit(self.addresses[front]).netloc,
@@ -66,7 +66,7 @@
             found = await self.answer(stream, timeout, tell)
         except StreamClosedError as problem:
             raise TroubleError(Trouble.LOST, f"the connection was lost: {problem.real_error}") from None
-        except NonsenseError as problem:
+        except MalformedMessageError as problem:
             stream.close()
             raise TroubleError(Trouble.LOST, f"no answer that can be read: {problem}") from None
         except BaseException:
@@ -121,7 +121,7 @@
     def fail(self, status: int, body: bytes) -> None:
         try:
             said = json_object(body)
-        except NonsenseError:
+        except MalformedMessageError:
             said = {}
         why = str(said.get("detail") or f"status {status}")
         retry, completion = str(said.get("retry") or ""), str(said.get("completion") or "")
--- a/heathford/discovery/client.py
+++ b/heathford/discovery/client.py
@@ -9,7 +9,7 @@
 
 from heathford.discovery.follower import Call, DiscoveryFollower, ListChange
 from heathford.fleet.instances import Instances
-from heathford.wire.http1 import request
+from heathford.wire.http1 import encode_request
 
 PASSED_TOLD = 10  # entries of one list or change that are told one by one
 LOGGED_FAILURES = 3  # in a row: while discovery is down the same line would come several times a second
@@ -33,7 +33,7 @@
             transport.abort()
             return
         headers = {"Accept": "application/json"}
-        transport.write(request("GET", self.call.path, self.client.address, headers, b""))
+        transport.write(encode_request("GET", self.call.path, self.client.address, headers, b""))
 
     def data_received(self, data: bytes) -> None:
         """Hand the bytes on."""
--- a/heathford/discovery/follower.py
+++ b/heathford/discovery/follower.py
@@ -23,7 +23,7 @@
 from heathford.discovery.json_stream import JsonStream
 from heathford.fleet.follow import ListError, Row
 from heathford.fleet.instances import LONGEST, Instances
-from heathford.wire.http1 import NonsenseError, Response
+from heathford.wire.http1 import MalformedMessageError, Response
 
 PATH = "/registry/instances"
 ANSWER_WITHIN = 0.12  # s between two pieces of a whole list, and to the first: the agent on this machine
@@ -168,7 +168,7 @@
                 self.list_received(data, wall, now)
             else:
                 self.watch_received(data, wall, now)
-        except NonsenseError as error:
+        except MalformedMessageError as error:
             self.failed(f"{call.kind.value}: {error}", now)
 
     # The two calls.
@@ -201,11 +201,11 @@
         patient.begun = True
         try:
             self.feed_list(patient.progress, data, wall, now)
-        except NonsenseError as error:
+        except MalformedMessageError as error:
             self.patient, self.reason = None, f"list: {error}"
 
     def feed_list(self, progress: Progress, data: bytes, wall: float, now: float) -> None:
-        """Take a list once it is whole, and open a watch from it. Raises NonsenseError."""
+        """Take a list once it is whole, and open a watch from it. Raises MalformedMessageError."""
         for part in progress.response.feed(data):
             progress.body += part
             if len(progress.body) > LONGEST:
--- a/heathford/discovery/json_stream.py
+++ b/heathford/discovery/json_stream.py
@@ -6,7 +6,7 @@
 import re
 from collections.abc import Iterator
 
-from heathford.wire.http1 import NonsenseError
+from heathford.wire.http1 import MalformedMessageError
 
 # A string can't hold a raw line break, so each line can be scanned on its own.
 TOKENS = re.compile(rb'"(?:[^"\\]|\\.)*"|[{}]')
@@ -31,7 +31,7 @@
         return bool(self.line or self.lines)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Raises NonsenseError where the bytes can't be split into objects."""
+        """Raises MalformedMessageError where the bytes can't be split into objects."""
         first, *rest = data.split(b"\n")
         self.line += first
         for following in rest:
@@ -41,16 +41,16 @@
             if found is not None:
                 yield found
         if len(self.line) + self.size > self.longest:
-            raise NonsenseError("an object too long")
+            raise MalformedMessageError("an object too long")
 
     def add(self, line: bytes) -> bytes | None:
         """Take one whole line; return the object that it ends, if it does."""
         if not line:
             if self.lines:
-                raise NonsenseError("an empty line inside an object")
+                raise MalformedMessageError("an empty line inside an object")
             return b""
         if not self.lines and not line.startswith(b"{"):
-            raise NonsenseError("a line that begins no object")
+            raise MalformedMessageError("a line that begins no object")
         self.lines.append(line)
         self.size += len(line)
         for token in TOKENS.finditer(line):
--- a/heathford/engines/answers.py
+++ b/heathford/engines/answers.py
@@ -5,7 +5,7 @@
 
 import orjson
 
-from heathford.wire.http1 import NonsenseError, json_object
+from heathford.wire.http1 import MalformedMessageError, json_object
 from heathford.interface import Outcome
 
 # Names in a load report (endpoint-load-metrics, JSON form) and what the decisions call them.
@@ -54,7 +54,7 @@
     answer = json_object(body)
     kv = answer.get("kv_transfer_params")
     if not isinstance(kv, dict):
-        raise NonsenseError("a read without kv_transfer_params")
+        raise MalformedMessageError("a read without kv_transfer_params")
     return cached_tokens(answer.get("usage")), kv
 
 
@@ -62,14 +62,14 @@
     """Of one event of a stream: text, finish reason and usage, each empty if not in it."""
     event = json_object(data)
     if "error" in event:
-        raise NonsenseError(f"an error in the stream: {event['error']!r}")
+        raise MalformedMessageError(f"an error in the stream: {event['error']!r}")
     choices = event.get("choices")
     if not isinstance(choices, list):
-        raise NonsenseError("an event without choices")
+        raise MalformedMessageError("an event without choices")
     first = choices[0] if choices else {}
     text, reason, usage = first.get("text") or "", first.get("finish_reason") or "", event.get("usage") or {}
     if not (isinstance(text, str) and isinstance(reason, str) and isinstance(usage, dict)):
-        raise NonsenseError("an event with fields of another type")
+        raise MalformedMessageError("an event with fields of another type")
     return text, reason, usage
 
 
--- a/heathford/engines/link.py
+++ b/heathford/engines/link.py
@@ -16,7 +16,7 @@
 from heathford.engines.answers import cached_tokens, chunk, load_of, read_answer, verdict_of
 from heathford.engines.pools import ConnectionPool, ConnectionPools
 from heathford.engines.release_retries import NO_ANSWER, ReleaseRetries
-from heathford.wire.http1 import EventStream, NonsenseError, Response, request
+from heathford.wire.http1 import EventStream, MalformedMessageError, Response, encode_request
 from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
@@ -91,16 +91,16 @@
             async with asyncio.timeout(patience):
                 stream = await self.connection(endpoint, pool)
                 response = await self.delete_on(stream, endpoint, name)
-        except (StreamClosedError, OSError, NonsenseError, TimeoutError):
+        except (StreamClosedError, OSError, MalformedMessageError, TimeoutError):
             if stream:
                 self.drop(pool, stream)
             return NO_ANSWER
-        self.give_back(pool, stream, response.keep)
+        self.give_back(pool, stream, response.keep_alive)
         return response.status
 
     async def delete_on(self, stream: IOStream, endpoint: Endpoint, name: str) -> Response:
-        """The whole answer. Raises StreamClosedError or NonsenseError."""
-        await stream.write(request("DELETE", f"/v1/kv_transfers/{name}", endpoint.address, {}, b""))
+        """The whole answer. Raises StreamClosedError or MalformedMessageError."""
+        await stream.write(encode_request("DELETE", f"/v1/kv_transfers/{name}", endpoint.address, {}, b""))
         response = Response(self.longest_line)
         while not response.done:
             for _ in response.feed(await stream.read_bytes(READ_BYTES, partial=True)):
@@ -237,7 +237,7 @@
             await self.answer(stream)
         except StreamClosedError:
             self.end(Outcome.BROKEN)
-        except NonsenseError as problem:
+        except MalformedMessageError as problem:
             log.warning("nonsense from an engine", engine=self.endpoint.name, what=str(problem))
             self.end(Outcome.ERROR)
 
@@ -255,7 +255,7 @@
                 if response.status != 200 or "event-stream" not in response.headers.get("content-type", ""):
                     body += part
                     if len(body) > 16 * self.link.longest_line:
-                        raise NonsenseError("an answer too long")
+                        raise MalformedMessageError("an answer too long")
                     continue
                 for event in events.feed(part):
                     if event == b"[DONE]":
@@ -270,17 +270,20 @@
         if response.status != 200:
             self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
             verdict, detail = verdict_of(response.status, bytes(body))
-            self.end(verdict, detail, keep=response.keep)
+            self.end(verdict, detail, keep=response.keep_alive)
         elif self.endpoint.role is Role.PREFILL:
             self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
             found, kv = read_answer(bytes(body))
-            self.end(Outcome.PREFILLED, found, {"kv": kv}, keep=response.keep)
+            self.end(Outcome.PREFILLED, found, {"kv": kv}, keep=response.keep_alive)
         elif not finished or not self.begun:
-            raise NonsenseError("a stream that ends without saying so" if self.begun else "no stream")
+            raise MalformedMessageError("a stream that ends without saying so" if self.begun else "no stream")
         else:
             self.load = load_of(response.trailers.get("endpoint-load-metrics", ""))
             self.end(
-                Outcome.FINISHED, cached_tokens(usage), {"reason": reason, "usage": usage}, keep=response.keep
+                Outcome.FINISHED,
+                cached_tokens(usage),
+                {"reason": reason, "usage": usage},
+                keep=response.keep_alive,
             )
 
     def token(self, text: str) -> None:
@@ -322,4 +325,6 @@
         more = {"stream": True, "stream_options": {"include_usage": True}}
         if kv is not None:
             more["kv_transfer_params"] = kv
-    return request("POST", "/v1/completions", endpoint.address, headers, orjson.dumps({**body, **more}))
+    return encode_request(
+        "POST", "/v1/completions", endpoint.address, headers, orjson.dumps({**body, **more})
+    )
--- a/heathford/fleet/follow.py
+++ b/heathford/fleet/follow.py
@@ -14,7 +14,7 @@
 from heathford.core.protocols import Endpoint
 from heathford.fleet.engine_ages import EngineAges, ToldStart
 from heathford.interface import Health, Role
-from heathford.wire.http1 import NonsenseError, json_object
+from heathford.wire.http1 import MalformedMessageError, json_object
 
 AGAIN = 0.1  # s before a failed call is made again: a registry that restarts is back in about that
 AGAIN_MOST = 5.0  # s: doubled up to here, so that a registry that is down isn't pressed by every front
@@ -24,7 +24,7 @@
 Row = tuple[Endpoint, int, int, int, Health, float, float]
 
 
-class ListError(NonsenseError):
+class ListError(MalformedMessageError):
     """What the registry said can't be used; the list held stays valid."""
 
 
--- a/heathford/fleet/registry.py
+++ b/heathford/fleet/registry.py
@@ -9,7 +9,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from heathford.fleet.follow import SILENCE, Follower, Lines, ListError, Row
-from heathford.wire.http1 import NonsenseError, Response, request
+from heathford.wire.http1 import MalformedMessageError, Response, encode_request
 
 PATH = "/api/v1/engines"
 READ_BYTES = 65_536  # bytes read at once
@@ -39,7 +39,7 @@
                 if not self.follower.version:
                     await self.list_all()
                 await self.watch()
-            except (StreamClosedError, OSError, NonsenseError) as problem:
+            except (StreamClosedError, OSError, MalformedMessageError) as problem:
                 wait = self.follower.failed()
                 log.warning("list of engines", failed=repr(problem), again_in=round(wait, 3))
                 await asyncio.sleep(wait)
@@ -72,7 +72,9 @@
         try:
             async with asyncio.timeout(SILENCE):
                 await stream.connect((self.address, self.port))
-                await stream.write(request("GET", path, self.address, {"Accept": "application/json"}, b""))
+                await stream.write(
+                    encode_request("GET", path, self.address, {"Accept": "application/json"}, b"")
+                )
             response = Response(LONGEST)
             while not response.done:
                 async with asyncio.timeout(SILENCE):
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -7,7 +7,7 @@
 
 from heathford.engines.answers import cached_tokens
 from heathford.interface import Outcome
-from heathford.wire.http1 import NonsenseError, Response, json_object
+from heathford.wire.http1 import MalformedMessageError, Response, json_object
 
 LONGEST_LINE = 16_384  # bytes of a head, a size line or one event: engines send a few hundred
 LONGEST_BODY = 262_144  # bytes of a body or a chunk: what the protocol allows
@@ -27,16 +27,16 @@
         self.found = 0  # prompt tokens found kept
 
     def feed(self, part: bytes) -> bytes:
-        """The bytes of all events that are whole by now. Raises NonsenseError."""
+        """The bytes of all events that are whole by now. Raises MalformedMessageError."""
         self.rest += part
         at = max(self.rest.rfind(end) + len(end) if end in self.rest else 0 for end in ENDS)
         if len(self.rest) - at > LONGEST_LINE:
-            raise NonsenseError("an event too long")
+            raise MalformedMessageError("an event too long")
         if not at:
             return b""
         whole, self.rest = self.rest[:at], self.rest[at:]
         if self.finished:
-            raise NonsenseError("an event after the last")
+            raise MalformedMessageError("an event after the last")
         if not self.begun:
             self.check(whole)
             self.begun = True
@@ -48,9 +48,9 @@
     def check(self, whole: bytes) -> None:
         first = whole.lstrip(b"\r\n").split(b"\n", 1)[0]
         if not first.startswith(b"data:"):
-            raise NonsenseError("a stream that begins with no event")
+            raise MalformedMessageError("a stream that begins with no event")
         if not isinstance(json_object(first[5:]).get("choices"), list):
-            raise NonsenseError("an event without choices")
+            raise MalformedMessageError("an event without choices")
 
 
 def found_in(events: bytes) -> int:
@@ -58,13 +58,13 @@
         if line.startswith(b"data: {") and b'"usage"' in line:
             try:
                 return cached_tokens(json_object(line[5:]).get("usage"))
-            except NonsenseError:
+            except MalformedMessageError:
                 return 0  # figures only: the events are passed on as they are
     return 0
 
 
 class Answer:
-    """One answer of an engine, from its first byte. Raises NonsenseError from `feed`."""
+    """One answer of an engine, from its first byte. Raises MalformedMessageError from `feed`."""
 
     def __init__(self, reading: bool) -> None:
         self.reading = reading
@@ -81,19 +81,19 @@
             else:
                 self.body += part
                 if len(self.body) > LONGEST_BODY:
-                    raise NonsenseError("an answer too long")
+                    raise MalformedMessageError("an answer too long")
         return out
 
     @property
     def keep(self) -> bool:
-        return self.response.keep
+        return self.response.keep_alive
 
     def outcome(self) -> tuple[Outcome, int]:
-        """Once it is whole: the verdict and its detail. Raises NonsenseError."""
+        """Once it is whole: the verdict and its detail. Raises MalformedMessageError."""
         status = self.response.status
         if status == 200 and not self.reading:
             if not self.events.finished or self.events.rest.strip():
-                raise NonsenseError("a stream that ends without saying so")
+                raise MalformedMessageError("a stream that ends without saying so")
             return Outcome.FINISHED, self.events.found
         if status == 202 and self.reading:
             return Outcome.PREFILLED, tokens_found(json_object(bytes(self.body)).get("cached_tokens"))
--- a/heathford/platform/client_connection.py
+++ b/heathford/platform/client_connection.py
@@ -16,9 +16,9 @@
 from heathford.platform.request_acceptance import accept_request
 from heathford.platform.eviction import Idleness
 from heathford.platform.responses import CLOSING, STREAM, whole
-from heathford.wire.request_reader import ReadAhead, Received, RequestReader, Unreadable
-from heathford.wire.requests import RefusedError, Request
-from heathford.wire.socket_state import state_of
+from heathford.wire.request_reader import ReadAheadBudget, ReceivedRequest, RequestReader, ReadFailure
+from heathford.wire.requests import RequestError, Request
+from heathford.wire.socket_state import read_socket_state
 
 LONGEST_HEAD = 16_384  # bytes: clients' heads have a few hundred
 LONGEST_BODY = 262_144  # bytes: what the protocol allows
@@ -35,7 +35,7 @@
     loop: asyncio.AbstractEventLoop
     connections: "dict[ClientConnection, None]"
     open: dict[str, AcceptedRequest]
-    read_ahead: ReadAhead
+    read_ahead: ReadAheadBudget
     refused: Counter[int]
     stopping: bool
     refuses_from: float
@@ -81,7 +81,7 @@
             self.reader.feed(data, self.clients.loop.time())
         except Exception as problem:
             log.error("request not read", exc_info=problem)
-            self.reader.give_up(RefusedError(500, "the request could not be read"))
+            self.reader.fail(RequestError(500, "the request could not be read"))
         self.advance()
         self.clients.changed(self)
 
@@ -111,35 +111,35 @@
         """Handle the next request that is whole, unless one is in hand; its answer calls this again."""
         if self.closing or self.taken is not None:
             return
-        found = self.reader.take()
-        if isinstance(found, Received):
+        found = self.reader.next_request()
+        if isinstance(found, ReceivedRequest):
             self.handle(found)
-        elif isinstance(found, Unreadable):
+        elif isinstance(found, ReadFailure):
             self.refuse(found.error, False)
         elif self.reader.awaits_continue:
-            self.reader.continued()
+            self.reader.continue_sent()
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def handle(self, received: Received) -> None:
+    def handle(self, received: ReceivedRequest) -> None:
         clients, request = self.clients, received.request
-        self.keep = request.keep
+        self.keep = request.keep_alive
         if request.target.partition("?")[0] == "/health/ready" and request.method == "GET":
             status, text = (503, "not ready") if clients.stopping else (200, "ready")
-            self.answer(whole(status, text, clients.stopping), request.keep)
+            self.answer(whole(status, text, clients.stopping), request.keep_alive)
             return
         try:
-            reason = clients.core.gate.may_start(received.kept, received.ended, clients.refuses_from)
+            reason = clients.core.gate.may_start(received.has_body, received.ended_at, clients.refuses_from)
             if reason is not Reason.ALLOWED:
-                raise RefusedError(503, f"not begun: {reason.value}")
-            self.take(request, received.began)
-        except RefusedError as problem:
-            self.refuse(problem, request.keep)
+                raise RequestError(503, f"not begun: {reason.value}")
+            self.take(request, received.started_at)
+        except RequestError as problem:
+            self.refuse(problem, request.keep_alive)
         except Exception as problem:
             log.error("request not taken", exc_info=problem)
-            self.refuse(RefusedError(500, "the request could not be taken"), request.keep)
+            self.refuse(RequestError(500, "the request could not be taken"), request.keep_alive)
 
     def take(self, request: Request, began: float) -> None:
-        """Hand the request to the core. Raises RefusedError: before the core has seen any of it. The client's
+        """Hand the request to the core. Raises RequestError: before the core has seen any of it. The client's
         budget counts from the first byte that came: it may have waited since then, however slowly it wrote,
         however long the request stood behind another, and an engine must not be told more."""
         clients = self.clients
@@ -150,7 +150,7 @@
         clients.open[self.name] = self.taken
         clients.changed(self)
 
-    def refuse(self, problem: RefusedError, keep: bool) -> None:
+    def refuse(self, problem: RequestError, keep: bool) -> None:
         """keep: what was whole but made no sense leaves the connection in order; anything else does not."""
         self.clients.refused[problem.status] += 1
         self.record("refused", str(problem.status))
@@ -188,7 +188,7 @@
     @property
     def busy(self) -> bool:
         """A request that was read whole has not been answered yet."""
-        return self.taken is not None or self.reader.has_whole
+        return self.taken is not None or self.reader.has_complete_request
 
     @property
     def idleness(self) -> Idleness | None:
@@ -196,14 +196,14 @@
             return None
         if self.closing:
             return Idleness.SHUT
-        if self.reader.begun:
+        if self.reader.has_partial_request:
             return Idleness.ASKING
         return Idleness.ANSWERED if self.served else Idleness.SILENT
 
     @property
     def unread(self) -> bool:
         """Bytes, or the client's end, have reached this machine and not this program."""
-        return state_of(self.transport).unread
+        return read_socket_state(self.transport).unread
 
     def finish_if_idle(self) -> bool:
         """Shut a connection that nothing is owed on. Guards against a shutdown behind a request that waits in
@@ -215,7 +215,7 @@
         return True
 
     def may_close(self) -> Reason:
-        return self.clients.core.gate.may_close(self.busy, self.reader.begun, self.unread)
+        return self.clients.core.gate.may_close(self.busy, self.reader.has_partial_request, self.unread)
 
     def record(self, event: str, reason: str) -> None:
         self.clients.core.history.add(self.name, event, reason)
@@ -226,7 +226,7 @@
         if self.busy or not self.flushed or (self.unread and not self.closing):
             return False
         self.record("closed", "evicted")
-        if self.reader.begun:
+        if self.reader.has_partial_request:
             self.clients.refused[503] += 1
             self.write(whole(503, "no room for a request so slow", True))
         self.drop()
@@ -262,7 +262,7 @@
     # What the core says: heathford.core.protocols.ResponseWriter.
 
     def client_connected(self) -> bool:
-        if self.taken is not None and state_of(self.transport).ended:
+        if self.taken is not None and read_socket_state(self.transport).ended:
             self.leave()
         return self.taken is not None
 
--- a/heathford/platform/client_server.py
+++ b/heathford/platform/client_server.py
@@ -13,7 +13,7 @@
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.eviction import EvictionQueues
 from heathford.platform.responses import whole
-from heathford.wire.request_reader import ReadAhead
+from heathford.wire.request_reader import ReadAheadBudget
 
 FIRST = 2.0  # s for a connection's first byte: silent ones are owed a close within 3
 IDLE = 30.0  # s that a connection is kept between requests: clients come back within seconds or not at all
@@ -42,7 +42,7 @@
         self.refuses_from = inf  # s on the loop's clock from which new requests are refused
         self.refused: Counter[int] = Counter()  # by status: what was never taken
         self.evicted = 0  # connections closed to make room
-        self.read_ahead = ReadAhead()
+        self.read_ahead = ReadAheadBudget()
 
     def accept(self) -> ClientConnection:
         return ClientConnection(self)
@@ -104,8 +104,8 @@
                 connection.drop()
         elif connection.busy:
             return
-        elif connection.reader.begun or not connection.served:
-            if idle >= (WRITES if connection.reader.begun else FIRST) and not connection.unread:
+        elif connection.reader.has_partial_request or not connection.served:
+            if idle >= (WRITES if connection.reader.has_partial_request else FIRST) and not connection.unread:
                 self.refused[408] += 1
                 connection.answer(whole(408, "no whole request in time", True), False)
         elif idle >= IDLE:
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -7,10 +7,10 @@
 from heathford.interface import PART_ARRIVED, Role, Outcome
 from heathford.platform.answers import Answer
 from heathford.platform.exchange import EngineConnection, Exchange
-from heathford.platform.unclear_prefill import UnclearPrefill
+from heathford.platform.abandoned_prefill import AbandonedPrefill
 from heathford.policy.transfer import PROGRESS_CHECK_INTERVAL, Send, SendState
-from heathford.wire.http1 import NonsenseError, request
-from heathford.wire.socket_state import unconfirmed
+from heathford.wire.http1 import MalformedMessageError, encode_request
+from heathford.wire.socket_state import unacknowledged_bytes
 
 if TYPE_CHECKING:
     from heathford.platform.link import PlatformLink
@@ -75,11 +75,11 @@
         if not left:
             self.sending = None
             self.link.transfers.observe(sending, now)
-        elif state is SendState.BEHIND and connection.unwritten:
+        elif state is SendState.BEHIND and connection.has_unwritten:
             self.give_up_slow_send(sending)
         elif state is not SendState.STALLED:
             self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.look_at_send)
-        elif connection.unwritten:
+        elif connection.has_unwritten:
             self.end(Outcome.UNREACHABLE, PART_ARRIVED if sending.moved > 0 else 0)
 
     def give_up_slow_send(self, sending: Send) -> None:
@@ -95,14 +95,14 @@
         headers = {"X-Call-Id": self.name, "X-Budget-Ms": str(told)}
         if self.mark:
             headers["Idempotency-Key"] = self.mark
-        return request("POST", target, self.endpoint.address, headers, body)
+        return encode_request("POST", target, self.endpoint.address, headers, body)
 
     def cancel(self) -> None:
         self.end(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
         """Also where part of a long request has left: an engine starts on what is whole."""
-        if self.connection is None or self.connection.unwritten:
+        if self.connection is None or self.connection.has_unwritten:
             self.end(Outcome.UNSENT)
 
     def is_progressing(self) -> bool:
@@ -115,13 +115,13 @@
         closed, whatever it held when it was asked."""
         if self.over or self.begun:
             return Arrival.ANSWERED
-        if self.is_progressing() and self.connection and self.connection.unwritten and self.sending:
+        if self.is_progressing() and self.connection and self.connection.has_unwritten and self.sending:
             self.give_up_slow_send(self.sending)
             return Arrival.UNSENT
-        if self.connection is None or self.connection.unwritten:
+        if self.connection is None or self.connection.has_unwritten:
             self.end(Outcome.UNREACHABLE)
             return Arrival.UNSENT
-        if unconfirmed(self.connection.transport):
+        if unacknowledged_bytes(self.connection.transport):
             self.end(Outcome.UNARRIVED)
             return Arrival.UNCONFIRMED
         return Arrival.CONFIRMED
@@ -131,9 +131,9 @@
             return
         sent = self.connection is not None
         self.stop(keep)
-        self.link.ends[verdict] += 1
+        self.link.outcomes[verdict] += 1
         if (sent or verdict is Outcome.BROKEN) and verdict in UNCLEAR and self.endpoint.role is Role.PREFILL:
-            self.link.unclear[self.name] = UnclearPrefill(self.loop.time())
+            self.link.abandoned_prefills[self.name] = AbandonedPrefill(self.loop.time())
         self.events.ended(verdict, detail, {}, {"kv": {}})
 
     def timed_out(self) -> None:
@@ -152,7 +152,7 @@
         self.end(Outcome.UNREACHABLE if unwritten else Outcome.BROKEN)
 
     def closed_by_engine(self) -> None:
-        self.answer.response.closed()
+        self.answer.response.feed_eof()
         if self.answer.response.done:
             self.heard(b"")
 
@@ -161,7 +161,7 @@
             events = self.answer.feed(data)
             done = self.answer.response.done
             verdict, detail = self.answer.outcome() if done else (Outcome.ERROR, 0)
-        except NonsenseError as problem:
+        except MalformedMessageError as problem:
             self.link.nonsense(self.endpoint, problem)
             self.end(Outcome.ERROR)
             return
--- a/heathford/platform/exchange.py
+++ b/heathford/platform/exchange.py
@@ -15,7 +15,7 @@
 from heathford.core.protocols import Endpoint
 from heathford.core.tasks import Tasks
 from heathford.engines.pools import ConnectionPool, ConnectionPools
-from heathford.wire.socket_state import state_of, unconfirmed
+from heathford.wire.socket_state import read_socket_state, unacknowledged_bytes
 
 UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: some segments, so that it need not wait
 RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: what the kernel still holds is dropped
@@ -55,7 +55,7 @@
         self.link, self.pool = link, pool
         self.transport: asyncio.Transport | None = None
         self.user: Exchange | None = None
-        self.unwritten = False  # part of what was sent has not left yet
+        self.has_unwritten = False  # part of what was sent has not left yet
         self.counted = True
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -70,16 +70,16 @@
         transport.set_write_buffer_limits(high=0)  # so that pause and resume tell of unwritten bytes
 
     def pause_writing(self) -> None:
-        self.unwritten = True
+        self.has_unwritten = True
 
     def resume_writing(self) -> None:
-        self.unwritten = False
+        self.has_unwritten = False
 
     def write(self, data: bytes) -> None:
         assert self.transport
         self.transport.write(data)
         if self.transport.is_closing():  # it broke while it was written
-            self.unwritten = True
+            self.has_unwritten = True
 
     def data_received(self, data: bytes) -> None:
         self.pool.last_received_at = self.link.loop.time()
@@ -97,7 +97,7 @@
         self.uncount()
         if self.user:
             user, self.user = self.user, None
-            user.lost(self.unwritten)
+            user.lost(self.has_unwritten)
 
     def uncount(self) -> None:
         if self.counted:
@@ -107,7 +107,7 @@
     def not_confirmed(self) -> int:
         """Bytes written that the far machine has not confirmed: those in user space, and the kernel's."""
         held = self.transport.get_write_buffer_size() if self.transport else 0
-        return held + unconfirmed(self.transport)
+        return held + unacknowledged_bytes(self.transport)
 
     def closed(self) -> bool:
         return self.transport is None or self.transport.is_closing()
@@ -115,7 +115,7 @@
     def quiet(self) -> bool:
         """Nothing has come on it, an end included. Guards against what the loop has not come to yet: a
         request written behind an end may have run for all we know."""
-        return not state_of(self.transport).unread
+        return not read_socket_state(self.transport).unread
 
     def close(self) -> None:
         """At once, with what is unwritten. Shut down first: a transport closes its socket in the loop's next
@@ -125,7 +125,7 @@
         if self.transport:
             sock = self.transport.get_extra_info("socket")
             with suppress(OSError):  # it has broken, or is closed
-                if unconfirmed(self.transport):
+                if unacknowledged_bytes(self.transport):
                     # Guards against a request that the kernel delivers after we have given it up, as the peer
                     # reads on or a cut heals. Harms nothing: no answer to it is wanted any more. Proves
                     # nothing: the kernel sends on until the loop's next turn closes the socket.
@@ -220,7 +220,7 @@
         connection, self.connection = self.connection, None
         if connection:
             connection.user = None
-            if keep and not connection.unwritten:
+            if keep and not connection.has_unwritten:
                 self.link.give_back(connection)
             else:
                 connection.close()
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -16,14 +16,16 @@
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.silent_engines import SilentEngines
 from heathford.platform.state_release import REFUSED, ReleaseCall, StateRelease
-from heathford.platform.unclear_prefill import UnclearPrefill
+from heathford.platform.abandoned_prefill import AbandonedPrefill
 from heathford.policy.transfer import TransferRates
-from heathford.wire.http1 import NonsenseError
+from heathford.wire.http1 import MalformedMessageError
 
 IDLE_PART = 0.6  # of the time after which engines close idle connections: one written into then is lost
 RELEASE_PART = 0.05  # of all connections, kept back for releases: without one a state stays held
 FEW_CONNECTIONS = 8  # up to which none is kept back
-SETTLED = 0.05  # s after an answer before a connection is used again: some engines close it then, or answer
+REUSE_DELAY = (
+    0.05  # s after an answer before a connection is used again: some engines close it then, or answer
+)
 # once more some milliseconds late, which would be taken for what the next request gets
 FAILED_AGAIN = 0.5  # s after a release that nobody confirmed until it is said again; then twice as long
 FAILED_AGAIN_MOST = 4.0  # s of these: in all they outlast a cut of several seconds
@@ -56,16 +58,18 @@
         self.loop = asyncio.get_running_loop()
         self.connect_timeout, self.pin_limit = connect_timeout, pin_limit
         self.pools: ConnectionPools[EngineConnection] = ConnectionPools(
-            IDLE_PART * idle, connections, SETTLED, kept_back(connections)
+            IDLE_PART * idle, connections, REUSE_DELAY, kept_back(connections)
         )
         self.silent_engines = SilentEngines(lambda address: self.pools.pool(*address).last_received_at)
         self.tasks = Tasks("link")
         self.releases: dict[str, StateRelease] = {}  # by completion
-        self.unclear: dict[str, UnclearPrefill] = {}  # by request
+        self.abandoned_prefills: dict[str, AbandonedPrefill] = {}  # by request
         self.transfers = TransferRates()
-        self.again: dict[str, asyncio.TimerHandle] = {}  # requests whose release is to be said once more
-        self.ends: Counter[Outcome] = Counter()
-        self.spoilt = self.unreleased = 0
+        self.retry_timers: dict[
+            str, asyncio.TimerHandle
+        ] = {}  # requests whose release is to be said once more
+        self.outcomes: Counter[Outcome] = Counter()
+        self.malformed_answers = self.failed_releases = 0
         self.stopped = False
 
     def send(
@@ -79,11 +83,11 @@
         events: CallEvents,
     ) -> EngineCall:
         call = EngineCall(self, endpoint, name, body, mark, timeout, events)
-        if name in self.again:
-            self.again.pop(name).cancel()
-        if name in self.unclear:
+        if name in self.retry_timers:
+            self.retry_timers.pop(name).cancel()
+        if name in self.abandoned_prefills:
             # The core has them said once this attempt is through.
-            self.unclear[name] = UnclearPrefill(self.loop.time())
+            self.abandoned_prefills[name] = AbandonedPrefill(self.loop.time())
         if name in self.releases:
             # Guards against a DELETE that comes after the dispatch it was sent before: it names the
             # completion, and would take the state from that one. Costs the wait for its answer.
@@ -110,10 +114,10 @@
         try:
             confirmed = await release.run()
             if not confirmed:
-                self.unreleased += 1
+                self.failed_releases += 1
                 release.told_failed()
-            if confirmed and name in self.unclear:
-                self.unclear[name].was_released(release.holder_answered)
+            if confirmed and name in self.abandoned_prefills:
+                self.abandoned_prefills[name].release_confirmed(release.holder_answered)
             if not release.waiting:
                 self.say_again_if_due(confirmed, endpoint, name, events, again_after)
         finally:
@@ -128,19 +132,21 @@
         if not confirmed and again_after <= FAILED_AGAIN_MOST:
             self.say_again(again_after, endpoint, name, events, 2 * again_after)
             return
-        unclear = self.unclear.get(name)
-        late = unclear.next_after(self.loop.time(), self.pin_limit) if confirmed and unclear else None
+        unclear = self.abandoned_prefills.get(name)
+        late = unclear.next_release_in(self.loop.time(), self.pin_limit) if confirmed and unclear else None
         if late is None:
-            self.unclear.pop(name, None)
+            self.abandoned_prefills.pop(name, None)
         else:
             self.say_again(late, endpoint, name, events, FAILED_AGAIN_MOST)
 
     def say_again(
         self, after: float, endpoint: Endpoint, name: str, events: ReleaseEvents, then_after: float
     ) -> None:
-        if name in self.again:
-            self.again[name].cancel()
-        self.again[name] = self.loop.call_later(after, self.release_again, endpoint, name, events, then_after)
+        if name in self.retry_timers:
+            self.retry_timers[name].cancel()
+        self.retry_timers[name] = self.loop.call_later(
+            after, self.release_again, endpoint, name, events, then_after
+        )
 
     def last_received_at(self, endpoint: Endpoint) -> float:
         """When anything came from that engine last, while a connection to it has stood."""
@@ -158,7 +164,7 @@
         ends well, and against one that nobody confirmed: what is left would stay. Not where another attempt
         has begun: it names the request, and would take what that leaves. Costs a few calls for each prefill
         given up."""
-        del self.again[name]
+        del self.retry_timers[name]
         self.release(endpoint, name, events, again_after)
 
     def give_back(self, connection: EngineConnection) -> None:
@@ -167,14 +173,14 @@
         else:
             self.pools.add_idle(connection.pool, connection, self.loop.time())
 
-    def nonsense(self, endpoint: Endpoint, problem: NonsenseError) -> None:
-        self.spoilt += 1
-        if self.spoilt <= 20:  # the first tell what it looks like; the count goes on
+    def nonsense(self, endpoint: Endpoint, problem: MalformedMessageError) -> None:
+        self.malformed_answers += 1
+        if self.malformed_answers <= 20:  # the first tell what it looks like; the count goes on
             log.warning("nonsense from an engine", engine=endpoint.name, what=str(problem))
 
     def stop(self) -> None:
         self.stopped = True
-        for timer in self.again.values():
+        for timer in self.retry_timers.values():
             timer.cancel()
-        self.again.clear()
+        self.retry_timers.clear()
         self.pools.close_idle()
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -26,8 +26,8 @@
 from heathford.platform.reload import ConfigurationReload
 from heathford.platform.signals import handled_signals
 from heathford.platform.start import StartError, address_of, from_environment, seed_of, read_configuration
-from heathford.wire.http1 import NonsenseError
-from heathford.wire.socket_state import flags_of
+from heathford.wire.http1 import MalformedMessageError
+from heathford.wire.socket_state import poll_flags
 
 ANSWER_MARGIN = 0.02  # s before the client timeout by which it is answered: the way to it, and the loop's lag
 ACCEPTED = 8  # connections accepted in one turn of the loop: those to be closed go between two turns
@@ -128,7 +128,7 @@
                 found = self.instances.told_object(self.known, self.loop.time(), time.time())
                 if found:
                     self.core.apply_endpoint_list(*found)
-            except NonsenseError as problem:
+            except MalformedMessageError as problem:
                 log.error("the engines known from before can't be read", why=str(problem))
         self.watch.start()
         # Guards against first dispatches to engines that drain, or are gone: what the agent has counts as
@@ -204,9 +204,9 @@
             clients=len(self.clients.connections),
             out=self.clients.evicted,
             refused=dict(self.clients.refused),
-            ends={v.value: n for v, n in self.link.ends.items()},
-            spoilt=self.link.spoilt,
-            unreleased=self.link.unreleased,
+            ends={v.value: n for v, n in self.link.outcomes.items()},
+            spoilt=self.link.malformed_answers,
+            unreleased=self.link.failed_releases,
             engines=len(router.engines),
             conns=self.link.pools.open,
             version=self.instances.version,
@@ -256,14 +256,16 @@
 
     def idle(self) -> bool:
         """Nothing that was taken is open any more."""
-        return not (self.core.live or self.clients.connections or self.link.tasks.running or self.link.again)
+        return not (
+            self.core.live or self.clients.connections or self.link.tasks.running or self.link.retry_timers
+        )
 
     def someone_waits(self) -> bool:
         """A connection waits to be accepted. Guards against an end that resets it: what its client has sent
         was taken by this machine. Costs a call to the kernel."""
         if not self.server:
             return False
-        looks = [flags_of(sock.fileno()) for sock in self.server.sockets]
+        looks = [poll_flags(sock.fileno()) for sock in self.server.sockets]
         return any(flags is None or flags for flags in looks)
 
     async def end(self) -> None:
--- a/heathford/platform/release_schedule.py
+++ b/heathford/platform/release_schedule.py
@@ -9,7 +9,9 @@
 
 ASKED_MOST = 16  # engines, besides those that refuse: two silent roles of a zone, and some beyond them
 REFUSED_MOST = 8  # refusals that count as none asked: every second one lies in another zone, some cut off
-SPACING = 0.05  # s at most until others are asked too: many round trips, and three fit in the margin
+MAX_ROUND_INTERVAL = (
+    0.05  # s at most until others are asked too: many round trips, and three fit in the margin
+)
 SPACINGS = 6  # within the limit
 LEAST_ASKED = 2  # engines, also where all are taken for silent
 HOLDER_AT_ONCE = 2  # calls to the holder that may be out: its kept connection may be silent, a new one not
@@ -25,7 +27,7 @@
     """
 
     def __init__(self, now: float, limit: float) -> None:
-        self.spacing = min(SPACING, limit / SPACINGS)
+        self.spacing = min(MAX_ROUND_INTERVAL, limit / SPACINGS)
         self.over_at = now + limit
         self.next_at = now
         self.asked = self.refused = 0
--- a/heathford/platform/silent_engines.py
+++ b/heathford/platform/silent_engines.py
@@ -4,9 +4,9 @@
 from dataclasses import dataclass
 
 from heathford.engines.pools import Address
-from heathford.platform.release_schedule import SPACING
+from heathford.platform.release_schedule import MAX_ROUND_INTERVAL
 
-SILENT_AFTER = SPACING  # s without an answer after which others are asked in its place
+SILENT_AFTER = MAX_ROUND_INTERVAL  # s without an answer after which others are asked in its place
 REMEMBERED = 1.0  # s from the last release until one is sent again to see whether the engine answers
 TIDIED_AT = 512  # engines remembered from which those are forgotten whose time is over
 
--- a/heathford/platform/state_release.py
+++ b/heathford/platform/state_release.py
@@ -12,7 +12,7 @@
 from heathford.platform.answers import LONGEST_LINE
 from heathford.platform.exchange import Exchange
 from heathford.platform.release_schedule import HOLDER_AT_ONCE, LEAST_ASKED, ReleaseSchedule, next_to_ask
-from heathford.wire.http1 import NonsenseError, Response, request
+from heathford.wire.http1 import MalformedMessageError, Response, encode_request
 
 if TYPE_CHECKING:
     from heathford.platform.link import PlatformLink
@@ -26,7 +26,7 @@
 
 def release_request(endpoint: Endpoint, name: str) -> bytes:
     """Which every engine answers, whatever it holds."""
-    return request("DELETE", ROOMS + name, endpoint.address, {}, b"")
+    return encode_request("DELETE", ROOMS + name, endpoint.address, {}, b"")
 
 
 class Startable(Protocol):
@@ -66,18 +66,18 @@
         try:
             for _ in self.response.feed(data):
                 pass
-        except NonsenseError:
+        except MalformedMessageError:
             self.end(NO_ANSWER)
             return
         if self.response.done:
-            self.end(self.response.status, self.response.keep)
+            self.end(self.response.status, self.response.keep_alive)
 
     def lost(self, unwritten: bool) -> None:
         self.connection = None
         self.end(NO_ANSWER)
 
     def closed_by_engine(self) -> None:
-        self.response.closed()
+        self.response.feed_eof()
         if self.response.done:
             self.end(self.response.status)
 
--- a/heathford/soak/engine.py
+++ b/heathford/soak/engine.py
@@ -15,7 +15,7 @@
 from heathford.soak.records import Record, Seen
 from heathford.soak.relay import Watcher
 from heathford.standin.platform import STREAM, WORDS, Stand, chunk
-from heathford.wire.requests import RefusedError, Request
+from heathford.wire.requests import RequestError, Request
 
 EVENTS = 6  # of a stream
 EVENT_EVERY = 0.05  # s
@@ -163,7 +163,7 @@
         now = monotonic()
         try:
             self.request.feed(data)
-        except RefusedError:
+        except RequestError:
             self.note(Record(now, Seen.LOG, engine=self.uid, text="an engine was sent nonsense"))
             return
         while True:
--- a/heathford/standin/platform.py
+++ b/heathford/standin/platform.py
@@ -11,7 +11,7 @@
 
 import orjson
 
-from heathford.wire.requests import RefusedError, Request
+from heathford.wire.requests import RequestError, Request
 
 MS = 1_000_000  # ns
 SECOND = 1_000 * MS
@@ -82,7 +82,7 @@
                 await self.answer(request, writer)
                 await writer.drain()
                 request = Request(LONGEST, LONGEST, request.rest)
-        except (RefusedError, OSError):
+        except (RequestError, OSError):
             return
         finally:
             self.writers.pop(writer, None)
--- a/heathford/wire/http1.py
+++ b/heathford/wire/http1.py
@@ -17,18 +17,18 @@
 SIZE = re.compile(rb"[0-9A-Fa-f]{1,16}")  # int() alone takes signs, underscores and 0x too
 
 
-class NonsenseError(Exception):
+class MalformedMessageError(Exception):
     """What came is not what the protocol allows."""
 
 
 def json_object(data: bytes) -> dict[str, Any]:
-    """Raises NonsenseError where it is none."""
+    """Raises MalformedMessageError where it is none."""
     try:
         value = orjson.loads(data)
     except orjson.JSONDecodeError as problem:
-        raise NonsenseError(f"no JSON: {problem}") from None
+        raise MalformedMessageError(f"no JSON: {problem}") from None
     if not isinstance(value, dict):
-        raise NonsenseError("no JSON object")
+        raise MalformedMessageError("no JSON object")
     return value
 
 
@@ -44,7 +44,7 @@
         self.buffer = bytearray()
         self.headers: dict[str, str] = {}
         self.trailers: dict[str, str] = {}
-        self.done = self.keep = False
+        self.done = self.keep_alive = False
         self.left = 0  # bytes of the body, or of the chunk, still to come
         self.reads = self.read_head
 
@@ -55,7 +55,7 @@
         at = self.buffer.find(b"\r\n")
         if at < 0 or at > self.longest_line:
             if len(self.buffer) > self.longest_line:
-                raise NonsenseError("a line too long")
+                raise MalformedMessageError("a line too long")
             return None
         line = bytes(self.buffer[:at])
         del self.buffer[: at + 2]
@@ -78,10 +78,10 @@
             return None
         size = line.split(b";")[0].strip(b" \t")
         if not SIZE.fullmatch(size):
-            raise NonsenseError("a chunk without a size")
+            raise MalformedMessageError("a chunk without a size")
         self.left = int(size, 16)
         if self.left > self.longest_chunk:
-            raise NonsenseError("a chunk too long")
+            raise MalformedMessageError("a chunk too long")
         self.reads = self.read_chunk if self.left else self.read_trailers
         return b""
 
@@ -91,7 +91,7 @@
         if len(self.buffer) < 2:
             return None
         if self.buffer[:2] != b"\r\n":
-            raise NonsenseError("a chunk longer than stated")
+            raise MalformedMessageError("a chunk longer than stated")
         del self.buffer[:2]
         self.reads = self.read_size
         return b""
@@ -103,7 +103,7 @@
         if line:
             self.trailers |= fields_of([line.decode("latin-1")])
             if len(self.trailers) > MOST_TRAILERS:
-                raise NonsenseError("too many trailers")
+                raise MalformedMessageError("too many trailers")
         else:
             self.done = True
         return b""
@@ -132,11 +132,11 @@
                 yield part
         if self.buffer:
             if self.strict:
-                raise NonsenseError("bytes after the end of a response")
-            self.keep = False
+                raise MalformedMessageError("bytes after the end of a response")
+            self.keep_alive = False
             self.buffer.clear()
 
-    def closed(self) -> None:
+    def feed_eof(self) -> None:
         """The other side has closed: a body without a stated length is whole now."""
         if self.until_close:
             self.done = True
@@ -150,21 +150,21 @@
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
             if len(self.buffer) > self.longest_line:
-                raise NonsenseError("a head too long")
+                raise MalformedMessageError("a head too long")
             if self.buffer and not b"HTTP/1.1 ".startswith(self.buffer[:9]):
-                raise NonsenseError("no HTTP/1.1 response")
+                raise MalformedMessageError("no HTTP/1.1 response")
             return None
         first, *lines = bytes(self.buffer[:end]).decode("latin-1").split("\r\n")
         del self.buffer[: end + 4]
         parts = first.split(" ", 2)
         if len(parts) < 2 or parts[0] != "HTTP/1.1" or not (parts[1].isdigit() and len(parts[1]) == 3):
-            raise NonsenseError("no HTTP/1.1 status line")
+            raise MalformedMessageError("no HTTP/1.1 status line")
         self.status = int(parts[1])
         self.headers = fields_of(lines)
         if self.status < 200:  # an interim response: the real one follows
             self.headers = {}
             return b""
-        self.keep = "close" not in tokens_of(self.headers.get("connection", ""))
+        self.keep_alive = "close" not in tokens_of(self.headers.get("connection", ""))
         if self.headers.get("transfer-encoding", "").lower() == "chunked":
             self.reads = self.read_size
         elif self.status in (204, 304):
@@ -172,11 +172,11 @@
         else:
             length = self.headers.get("content-length")
             if length is None:  # RFC 9112, 6.3: the body ends with the connection
-                self.until_close, self.keep = True, False
+                self.until_close, self.keep_alive = True, False
                 self.reads = self.read_rest
                 return b""
             if not LENGTH.fullmatch(length):
-                raise NonsenseError("a length that is no number")
+                raise MalformedMessageError("a length that is no number")
             self.left = int(length)
             self.reads = self.read_body
             self.done = self.left == 0
@@ -193,7 +193,7 @@
     for line in lines:
         name, colon, value = line.partition(":")
         if not colon or not name or name != name.strip():
-            raise NonsenseError("a header line without a name")
+            raise MalformedMessageError("a header line without a name")
         fields[name.lower()] = value.strip()
     return fields
 
@@ -210,7 +210,7 @@
         lines = (self.buffer + part).replace(b"\r\n", b"\n").split(b"\n")
         self.buffer = lines.pop()
         if len(self.buffer) > self.longest:
-            raise NonsenseError("an event too long")
+            raise MalformedMessageError("an event too long")
         for line in lines:
             if not line:
                 if self.data:
@@ -221,7 +221,7 @@
             # comments, names of events and unknown fields are passed over, as the standard says
 
 
-def request(method: str, path: str, host: str, headers: dict[str, str], body: bytes) -> bytes:
+def encode_request(method: str, path: str, host: str, headers: dict[str, str], body: bytes) -> bytes:
     """One request with a body of stated length, to be sent on a connection kept alive."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
--- a/heathford/wire/socket_state.py
+++ b/heathford/wire/socket_state.py
@@ -6,7 +6,7 @@
 import struct
 from dataclasses import dataclass
 
-UNCONFIRMED = 0x5411  # SIOCOUTQ: bytes in the send queue that the peer has not confirmed
+SIOCOUTQ = 0x5411  # SIOCOUTQ: bytes in the send queue that the peer has not confirmed
 LOOKS = 3  # of which one has to succeed: the system may have no memory for a moment
 
 
@@ -24,7 +24,7 @@
 NOTHING_KNOWN = SocketState(unread=True, ended=False)  # closes nothing, and gives up nothing
 
 
-def flags_of(descriptor: int) -> int | None:
+def poll_flags(descriptor: int) -> int | None:
     """What poll(2) tells of a descriptor now; None where the system has no memory to say it."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
@@ -37,7 +37,7 @@
     return None
 
 
-def state_of(transport: asyncio.Transport | None) -> SocketState:
+def read_socket_state(transport: asyncio.Transport | None) -> SocketState:
     """Ask the kernel, without waiting. A transport that is closing has ended.
 
     Guards against acting on an order of events that is already out of date: a loop that is behind, or that
@@ -46,14 +46,14 @@
     """
     if transport is None or transport.is_closing():
         return SocketState(unread=True, ended=True)
-    flags = flags_of(transport.get_extra_info("socket").fileno())
+    flags = poll_flags(transport.get_extra_info("socket").fileno())
     if flags is None:
         return NOTHING_KNOWN
     ended = bool(flags & (select.POLLRDHUP | select.POLLHUP | select.POLLERR))
     return SocketState(unread=bool(flags), ended=ended)
 
 
-def unconfirmed(transport: asyncio.Transport | None) -> int:
+def unacknowledged_bytes(transport: asyncio.Transport | None) -> int:
     """Bytes written that the peer's machine has not confirmed; 0 where the kernel does not say.
 
     Asked without waiting. Those that the kernel has not sent yet are among them: it may send them until the
@@ -63,7 +63,7 @@
         return 0
     descriptor = transport.get_extra_info("socket").fileno()
     try:
-        answer = fcntl.ioctl(descriptor, UNCONFIRMED, bytes(4))
+        answer = fcntl.ioctl(descriptor, SIOCOUTQ, bytes(4))
     except OSError:
         return 0
     return max(0, int(struct.unpack("i", answer)[0]))
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -16,7 +16,7 @@
 import orjson
 
 from heathford.event_loop import new_event_loop
-from heathford.platform.link import SETTLED
+from heathford.platform.link import REUSE_DELAY
 from heathford.platform.process import Node
 from heathford.platform.start import read_configuration
 from heathford.standin.platform import EVENTS, GOOD, READ, Agent, settings
@@ -270,7 +270,7 @@
 
     async def wait_until_reusable(self) -> None:
         """Until connections to engines that were in use may be used again."""
-        await asyncio.sleep(SETTLED + 0.01)
+        await asyncio.sleep(REUSE_DELAY + 0.01)
 
 
 @asynccontextmanager
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -23,7 +23,7 @@
 from heathford.discovery.json_stream import JsonStream
 from heathford.fleet.instances import Instances
 from heathford.interface import Health, Role
-from heathford.wire.http1 import NonsenseError
+from heathford.wire.http1 import MalformedMessageError
 
 TOLD_WITHIN = 6.0  # s after discovery had a change and could be reached: the page's term
 AT_ONCE = 0.25  # s after discovery's return: the shortest drain grace known
@@ -392,6 +392,6 @@
     try:
         for _ in stream.feed(data):
             pass
-    except NonsenseError:
+    except MalformedMessageError:
         return
     assert len(stream.line) + stream.size <= 100
--- a/tests/test_late_prefill.py
+++ b/tests/test_late_prefill.py
@@ -17,7 +17,7 @@
 import pytest
 from raw_peers import FrontSetup, RawEngine, answer_releases, request, run_scenario
 
-from heathford.platform.unclear_prefill import FOLLOWED_FOR, UnclearPrefill
+from heathford.platform.abandoned_prefill import MAX_FOLLOW_UP, AbandonedPrefill
 
 LIMIT = 0.3  # s, as the stand-in's settings have it
 ALLOWANCE = 0.3  # s more, as the users state
@@ -68,19 +68,19 @@
     answered_at: int, releases: list[float | None]
 ) -> None:
     """answered_at: the release, by its number, that the prefill engine answers itself."""
-    unclear, now, found = UnclearPrefill(since=0.0), 0.0, []
+    unclear, now, found = AbandonedPrefill(since=0.0), 0.0, []
     for number in range(1, len(releases) + 1):
-        unclear.was_released(by_its_engine=number == answered_at)
-        after = unclear.next_after(now, LIMIT)
+        unclear.release_confirmed(by_its_engine=number == answered_at)
+        after = unclear.next_release_in(now, LIMIT)
         found.append(after)
         now += after or 0.0
     assert found == pytest.approx(releases)
 
 
 def test_an_engine_that_never_comes_back_is_not_followed_for_good() -> None:
-    unclear, now = UnclearPrefill(since=0.0), 0.0
-    while (after := unclear.next_after(now, LIMIT)) is not None:
-        unclear.was_released(by_its_engine=False)
+    unclear, now = AbandonedPrefill(since=0.0), 0.0
+    while (after := unclear.next_release_in(now, LIMIT)) is not None:
+        unclear.release_confirmed(by_its_engine=False)
         now += after
         assert after <= LIMIT + ALLOWANCE
-    assert FOLLOWED_FOR <= now <= FOLLOWED_FOR + LIMIT + ALLOWANCE
+    assert MAX_FOLLOW_UP <= now <= MAX_FOLLOW_UP + LIMIT + ALLOWANCE
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -5,7 +5,7 @@
 from heathford.interface import Outcome
 from heathford.platform.answers import Answer
 from heathford.standin.platform import EVENTS, GOOD, READ, STREAM, WORDS, chunk, whole
-from heathford.wire.http1 import NonsenseError
+from heathford.wire.http1 import MalformedMessageError
 
 ALL = b"".join(EVENTS)
 
@@ -18,7 +18,7 @@
             passed += answer.feed(said[at : at + step])
             if answer.response.done:
                 return passed, answer.outcome()
-        except NonsenseError:
+        except MalformedMessageError:
             return passed, "nonsense"
     return passed, None
 
@@ -46,9 +46,9 @@
             for at in range(0, len(said), step):
                 got += answer.feed(said[at : at + step])
             assert not answer.response.done and not answer.keep
-            answer.response.closed()
+            answer.response.feed_eof()
             found: object = answer.outcome()
-        except NonsenseError:
+        except MalformedMessageError:
             found = "nonsense"
         assert (got, found) == (passed, verdict)
 
@@ -130,7 +130,7 @@
 def test_no_chunk_makes_memory_grow() -> None:
     answer = Answer(reading=False)
     answer.feed(STREAM + chunk(EVENTS[0]) + b"3FFFF\r\n")
-    with pytest.raises(NonsenseError):
+    with pytest.raises(MalformedMessageError):
         for _ in range(100):
             answer.feed(b"a" * 1000)
     assert len(answer.events.rest) < 40_000
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -155,7 +155,7 @@
             assert link.loop.time() - began < 0.3
             held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
             await until(lambda: not link.releases)
-            assert not link.unreleased
+            assert not link.failed_releases
         finally:
             other.close()
 
@@ -250,7 +250,7 @@
         await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
         held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not link.releases)
-        assert not link.unreleased
+        assert not link.failed_releases
 
     asyncio.run(day())
 
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -152,7 +152,7 @@
             body = b'{"stream":true,"messages":["' + 250_000 * b"x" + b'"]}'
             head = request("c1").partition(b"\r\n\r\n")[0].rpartition(b"Content-Length")[0]
             client.send(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
-            await until(lambda: any(c.unwritten for c in connections), "a request that left in part")
+            await until(lambda: any(c.has_unwritten for c in connections), "a request that left in part")
             client.disconnect(how)
             await asyncio.sleep(0.1)
             held = await a.wait_for_request()  # and from now on the engine reads
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -174,7 +174,7 @@
             assert await client.wait_for_answers(1) == [502] and b.posts == 1
         else:
             await until(lambda: b.posts == 2, "a further attempt")
-        assert play.node.link.ends.total() >= 2
+        assert play.node.link.outcomes.total() >= 2
 
     run_scenario(tmp_path, day)
 
--- a/tests/test_release_schedule.py
+++ b/tests/test_release_schedule.py
@@ -6,7 +6,13 @@
 
 from heathford.interface import HELD_ALLOWANCE, STALL_ALLOWANCE
 from heathford.platform.link import kept_back
-from heathford.platform.release_schedule import ASKED_MOST, REFUSED_MOST, SPACING, SPACINGS, ReleaseSchedule
+from heathford.platform.release_schedule import (
+    ASKED_MOST,
+    REFUSED_MOST,
+    MAX_ROUND_INTERVAL,
+    SPACINGS,
+    ReleaseSchedule,
+)
 from heathford.policy.held_state import RELEASE_DURATION, PendingReleases, release_time
 
 LIMIT = 0.3  # s
@@ -27,7 +33,7 @@
 @pytest.mark.parametrize("limit", [0.06, 0.3, 1.0])
 def test_where_engines_are_silent_ever_more_are_asked_at_once(limit: float) -> None:
     times = times_asked(limit)
-    spacing = min(SPACING, limit / SPACINGS)
+    spacing = min(MAX_ROUND_INTERVAL, limit / SPACINGS)
     rounds = [0, 1, 2, 2, 3, 3, 3, 3, *8 * [4]]
     assert times == pytest.approx([number * spacing for number in rounds]) and len(times) == ASKED_MOST
     assert times[3] <= RELEASE_DURATION
@@ -47,7 +53,7 @@
         assert schedule.next_in(10.0) == 0.0
     schedule.was_asked(10.0)
     schedule.was_refused(10.0)
-    assert schedule.next_in(10.0) == pytest.approx(SPACING)
+    assert schedule.next_in(10.0) == pytest.approx(MAX_ROUND_INTERVAL)
 
 
 @pytest.mark.parametrize("limit", [0.05, 0.3, 0.5, 2.0])
@@ -101,11 +107,11 @@
         for _ in range(schedule.batch):
             schedule.was_asked(now)
             times.append(round(now, 3))
-    assert times[8] <= 4 * SPACING + late + 1e-9
+    assert times[8] <= 4 * MAX_ROUND_INTERVAL + late + 1e-9
 
 
 def test_a_machine_that_was_stopped_still_listens_between_two_questions() -> None:
     schedule = ReleaseSchedule(0.0, 1.0)
     schedule.was_asked(0.0)
     schedule.was_asked(0.4)
-    assert schedule.next_in(0.4) == pytest.approx(SPACING / 2)
+    assert schedule.next_in(0.4) == pytest.approx(MAX_ROUND_INTERVAL / 2)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -6,7 +6,13 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from heathford.wire.request_reader import MOST_WAITING, ReadAhead, Received, RequestReader, Unreadable
+from heathford.wire.request_reader import (
+    MAX_QUEUED_REQUESTS,
+    ReadAheadBudget,
+    ReceivedRequest,
+    RequestReader,
+    ReadFailure,
+)
 
 LONGEST_HEAD = 4_096
 LONGEST_BODY = 65_536
@@ -19,17 +25,17 @@
 
 
 def reader(most: int = 1 << 20) -> RequestReader:
-    return RequestReader(LONGEST_HEAD, LONGEST_BODY, ReadAhead(most))
+    return RequestReader(LONGEST_HEAD, LONGEST_BODY, ReadAheadBudget(most))
 
 
 def taken(requests: RequestReader) -> list[object]:
     """What is whole: the target and body of each request, or the status of what can't be read."""
     found: list[object] = []
-    while one := requests.take():
-        if isinstance(one, Unreadable):
+    while one := requests.next_request():
+        if isinstance(one, ReadFailure):
             found.append(one.error.status)
         else:
-            found.append((one.request.target, bytes(one.request.body), one.kept))
+            found.append((one.request.target, bytes(one.request.body), one.has_body))
     return found
 
 
@@ -46,7 +52,7 @@
     whole.feed(data, 0.0)
     for start, end in pairwise([0, *sorted(cuts), len(data)]):
         split.feed(data[start:end], 0.0)
-    assert whole.begun == split.begun and not whole.begun
+    assert whole.has_partial_request == split.has_partial_request and not whole.has_partial_request
     found = taken(split)
     assert found == taken(whole) and len(found) == len(parts) + broken
 
@@ -63,26 +69,30 @@
     requests = reader()
     requests.feed(SIZED[:-1], 1.0)
     requests.feed(SIZED[-1:] + PLAIN, 2.0)
-    times = [one.ended for one in (requests.take(), requests.take()) if isinstance(one, Received)]
+    times = [
+        one.ended_at
+        for one in (requests.next_request(), requests.next_request())
+        if isinstance(one, ReceivedRequest)
+    ]
     assert times == [2.0, 2.0]
 
 
 def test_a_flood_is_read_and_not_kept() -> None:
     """Read, so that the connection can be seen to close; what is not kept is answered as busy."""
-    ahead = ReadAhead(most=1_000)
+    ahead = ReadAheadBudget(max_bytes=1_000)
     requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
     body = b"x" * 400
     request = b"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 400\r\n\r\n" + body
-    for _ in range(10 * MOST_WAITING):
+    for _ in range(10 * MAX_QUEUED_REQUESTS):
         requests.feed(request, 0.0)
-    assert ahead.kept == 800
+    assert ahead.has_body == 800
     found = taken(requests)
     assert found[:3] == [("/a", body, True), ("/a", body, True), ("/a", b"", False)]
-    assert len(found) == MOST_WAITING + 1 and found[-1] == 503 and ahead.kept == 0
+    assert len(found) == MAX_QUEUED_REQUESTS + 1 and found[-1] == 503 and ahead.has_body == 0
 
 
 def test_one_request_ahead_is_always_kept() -> None:
-    ahead = ReadAhead(most=0)
+    ahead = ReadAheadBudget(max_bytes=0)
     requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
     requests.feed(SIZED + SIZED, 0.0)
     assert taken(requests) == [("/a", b"hello", True), ("/a", b"", False)]
@@ -90,18 +100,18 @@
 
 @pytest.mark.parametrize("after", [b"", PLAIN, BROKEN, SIZED[:-2]])
 def test_a_reader_that_is_closed_keeps_nothing(after: bytes) -> None:
-    ahead = ReadAhead()
+    ahead = ReadAheadBudget()
     requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
     requests.feed(SIZED + after, 0.0)
     requests.close()
     requests.feed(SIZED, 0.0)
-    assert requests.take() is None and not requests.pending and ahead.kept == 0
+    assert requests.next_request() is None and not requests.pending and ahead.has_body == 0
 
 
 def test_a_body_that_waits_to_be_asked_for() -> None:
     requests = reader()
     requests.feed(b"POST / HTTP/1.1\r\nHost: o\r\nExpect: 100-continue\r\nContent-Length: 2\r\n\r\n", 0.0)
     assert requests.awaits_continue
-    requests.continued()
+    requests.continue_sent()
     requests.feed(b"hi", 1.0)
     assert not requests.awaits_continue and taken(requests) == [("/", b"hi", True)]
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from heathford.wire.requests import RefusedError, Request
+from heathford.wire.requests import RequestError, Request
 
 PLAIN = b"POST /v1/x?a=1 HTTP/1.1\r\nHost: o\r\nX-Call-Id: 7\r\nContent-Length: 4\r\n\r\nabcd"
 CHUNKED = (
@@ -34,7 +34,7 @@
         assert request.done == (cut == len(said))
         request.feed(said[cut:] + b"GET /next")
         assert request.done and request.rest == b"GET /next"
-        assert (request.method, request.target, bytes(request.body), request.keep) == (
+        assert (request.method, request.target, bytes(request.body), request.keep_alive) == (
             method,
             target,
             body,
@@ -84,7 +84,7 @@
 def test_what_can_be_read_in_two_ways_or_not_at_all_is_refused(said: bytes, status: int) -> None:
     for step in (len(said), 1):
         request = Request(1024, 1024)
-        with pytest.raises(RefusedError) as refused:
+        with pytest.raises(RequestError) as refused:
             for at in range(0, len(said), step):
                 request.feed(said[at : at + step])
         assert refused.value.status == status
@@ -93,6 +93,6 @@
 def test_a_body_that_waits_to_be_asked_for() -> None:
     request = Request(1024, 1024)
     request.feed(head(b"Expect: 100-continue", b"Content-Length: 2"))
-    assert request.waits and not request.done
+    assert request.awaits_continue and not request.done
     request.feed(b"ab")
     assert request.done
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -210,7 +210,7 @@
             _, gives_up_at = await ask(play, "c0", 250_000, "booking")
             await until(lambda: bool(engines[place].begun), "the attempt")
             begun = engines[place].begun[0]
-            await until(lambda: len(play.node.link.ends) > place, "its end")
+            await until(lambda: len(play.node.link.outcomes) > place, "its end")
             assert monotonic() < begun + CUT_SEEN_WITHIN
             assert not engines[place].arrivals
 
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -22,7 +22,7 @@
 
 from heathford.core.protocols import Arrival
 from heathford.interface import STALL_ALLOWANCE, Effect, Outcome
-from heathford.platform.release_schedule import SPACING
+from heathford.platform.release_schedule import MAX_ROUND_INTERVAL
 from heathford.standin.platform import GOOD, READ, WORDS
 
 LIMIT = 0.3  # s, as the stand-in's settings have it
@@ -323,7 +323,7 @@
             play.node.link.release(holder, "c0", one)
         await reader.wait_for_request(1, b"DELETE")
         second = await writer.wait_for_request(1, b"DELETE")
-        assert time.monotonic() - began < 2 * SPACING + 0.05
+        assert time.monotonic() - began < 2 * MAX_ROUND_INTERVAL + 0.05
         second.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert reader.deletes == writer.deletes == 1
@@ -397,7 +397,7 @@
         await until(lambda: "failed" in heard.events, "the end of the first")
         asked = reader.deletes
         await until(lambda: reader.deletes > asked, "another")
-        assert play.node.link.unreleased == 1
+        assert play.node.link.failed_releases == 1
 
     run_scenario(tmp_path, day)
 
