--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -8,7 +8,7 @@
 from heathford.core import accepted_request
 from heathford.engines import link
 from heathford.front import memory
-from heathford.identity import identities
+from heathford.identity import idempotency_table
 from heathford.interface import Effect, Health
 from heathford.policy import Router, router
 from heathford.policy.slow_start import SlowStart
@@ -109,8 +109,8 @@
 
 def forgets_keys() -> None:
     """A repeat is taken for a new completion."""
-    identities.Identities.look = lambda self, member, key, body, now: (  # type: ignore[method-assign]
-        identities.Found.NEW,
+    idempotency_table.IdempotencyTable.look_up = lambda self, member, key, body, now: (  # type: ignore[method-assign]
+        idempotency_table.LookupResult.NEW,
         None,
     )
 
@@ -132,8 +132,8 @@
         shared, desk = self.shared, self.session.desk
         self.close()
         if shared and shared.leave(self) and not shared.over:
-            shared.let_go()
-            desk.identities.drop(self.asked["member"], self.asked["mark"])
+            shared.abandon()
+            desk.identities.remove(self.asked["member"], self.asked["mark"])
 
     session.Answer.leave = leave  # type: ignore[method-assign]
 
--- a/heathford/cli/batch.py
+++ b/heathford/cli/batch.py
@@ -23,12 +23,12 @@
 
 def batches_of(url: str, member: str, authority: Path | None) -> "Batches":
     from heathford.client.batches import Batches
-    from heathford.tls.files import PROTOCOLS
+    from heathford.tls.files import ALPN_PROTOCOLS
 
     tls = None
     if authority:
         tls = ssl.create_default_context(cafile=str(authority))
-        tls.set_alpn_protocols(PROTOCOLS)
+        tls.set_alpn_protocols(ALPN_PROTOCOLS)
     return Batches(url, member, tls)
 
 
--- a/heathford/cli/complete.py
+++ b/heathford/cli/complete.py
@@ -9,7 +9,7 @@
 from heathford.client.answers import CompletionError
 from heathford.client.base import Client
 from heathford.terminal.board import told
-from heathford.tls.files import PROTOCOLS
+from heathford.tls.files import ALPN_PROTOCOLS
 
 
 def client_of(urls: list[str], member: str, authority: Path | None, retry_share: float) -> Client:
@@ -17,7 +17,7 @@
     tls = None
     if authority:
         tls = ssl.create_default_context(cafile=str(authority))
-        tls.set_alpn_protocols(PROTOCOLS)
+        tls.set_alpn_protocols(ALPN_PROTOCOLS)
     schemes = sorted({url.partition("://")[0] for url in urls})
     if set(schemes) <= {"ws", "wss"}:
         return WebSocketClient(urls, member, retry_share, tls=tls)
--- a/heathford/cli/main.py
+++ b/heathford/cli/main.py
@@ -26,11 +26,11 @@
 def checked(path: Path, words: "Mapping[str, Word] | None" = None) -> "Script":
     from heathford.script.script import ScriptError, read_script
     from heathford.script.words import WORDS
-    from heathford.tls.files import key_mistakes
+    from heathford.tls.files import find_key_errors
 
     try:
         script = read_script(path, words or WORDS)
-        if words is None and (wrong := key_mistakes(script)):
+        if words is None and (wrong := find_key_errors(script)):
             raise ScriptError(wrong)
     except ScriptError as problem:
         click.echo(str(problem), err=True)
--- a/heathford/discovery/client.py
+++ b/heathford/discovery/client.py
@@ -8,7 +8,7 @@
 import structlog
 
 from heathford.discovery.follower import Call, DiscoveryFollower, ListChange
-from heathford.fleet.instances import Instances
+from heathford.fleet.endpoint_list import EndpointList
 from heathford.wire.http1 import encode_request
 
 PASSED_TOLD = 10  # entries of one list or change that are told one by one
@@ -52,7 +52,7 @@
     """Follows discovery until it is stopped; `changed` gets every change of the list, in order."""
 
     def __init__(
-        self, address: str, port: int, endpoints: Instances, changed: Callable[[ListChange], None]
+        self, address: str, port: int, endpoints: EndpointList, changed: Callable[[ListChange], None]
     ) -> None:
         self.address, self.port = address, port
         self.endpoints = endpoints
@@ -74,12 +74,12 @@
         self.follower.stop()
         self.follow()
 
-    def move(self, address: str, port: int) -> None:
+    def change_address(self, address: str, port: int) -> None:
         """Follow another address from now on; the open call is given up."""
         self.address, self.port = address, port
         self.start()
 
-    async def first(self, within: float) -> bool:
+    async def wait_for_first_list(self, within: float) -> bool:
         """Wait for the first whole list, that many seconds at most; return whether it is there."""
         try:
             await asyncio.wait_for(self.first_list.wait(), within)
--- a/heathford/discovery/follower.py
+++ b/heathford/discovery/follower.py
@@ -21,8 +21,8 @@
 from math import inf
 
 from heathford.discovery.json_stream import JsonStream
-from heathford.fleet.follow import ListError, Row
-from heathford.fleet.instances import LONGEST, Instances
+from heathford.fleet.list_watch import ListError, EndpointEntry
+from heathford.fleet.endpoint_list import LONGEST, EndpointList
 from heathford.wire.http1 import MalformedMessageError, Response
 
 PATH = "/registry/instances"
@@ -58,7 +58,7 @@
     """What the endpoint list says now: all of it, or only what changed."""
 
     complete: bool
-    rows: list[Row]
+    entries: list[EndpointEntry]
 
 
 @dataclass
@@ -88,7 +88,7 @@
 class DiscoveryFollower:
     """changed: called with each change of the list, in order."""
 
-    def __init__(self, endpoints: Instances, changed: Callable[[ListChange], None]) -> None:
+    def __init__(self, endpoints: EndpointList, changed: Callable[[ListChange], None]) -> None:
         self.endpoints = endpoints
         self.changed = changed
         self.call: Call | None = None
@@ -246,6 +246,6 @@
             raise ListError("an older version than the one held")
         self.tell(change)
 
-    def tell(self, change: tuple[bool, list[Row]] | None) -> None:
+    def tell(self, change: tuple[bool, list[EndpointEntry]] | None) -> None:
         if change and (any(change) or self.endpoints.passed):  # what can't be read is told as well
             self.changed(ListChange(*change))
--- a/heathford/drill/wire.py
+++ b/heathford/drill/wire.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import Any
 
-from heathford.bootinfo import NS, figures_of
+from heathford.bootinfo import NS_PER_SECOND, read_router_settings
 from heathford.interface import RoutedRequest, Health, Outcome
 from heathford.policy import Router
 
@@ -25,7 +25,7 @@
 
 
 def nanoseconds(seconds: float) -> int:
-    return max(0, round(seconds * NS))
+    return max(0, round(seconds * NS_PER_SECOND))
 
 
 class BatchClock:
@@ -68,7 +68,7 @@
             self,
             event["rngSeed"],
             subscribe=info.get("registryMode") == "subscribe",
-            **figures_of(info),
+            **read_router_settings(info),
         )
 
     def act(self, name: str, fields: dict[str, Any]) -> None:
@@ -97,7 +97,7 @@
                     row.get("bay", 0),
                     HEALTHS[row["health"]],
                     row.get("nominal", 1.0),
-                    row.get("bootTimeNs", 0) / NS,
+                    row.get("bootTimeNs", 0) / NS_PER_SECOND,
                 )
             except (KeyError, IndexError, TypeError) as problem:
                 # Guards against one entry that costs all others, whose drains are in the same list. Could
@@ -116,8 +116,8 @@
             event.get("nPrompt", 0),
             event.get("sharedLen", 0),
             event.get("maxOut", 0),
-            event.get("workHintNs", 0) / NS,
-            event["dueNs"] / NS,
+            event.get("workHintNs", 0) / NS_PER_SECOND,
+            event["dueNs"] / NS_PER_SECOND,
         )
         self.handles[key] = handle
 
@@ -126,13 +126,13 @@
         if handle is None:  # late news of something over
             return
         if name == "ackFirst":
-            handle.first_token(event.get("seqNo", 0), event.get("latencyNs", 0) / NS)
+            handle.first_token(event.get("seqNo", 0), event.get("latencyNs", 0) / NS_PER_SECOND)
         elif name == "attemptEnd":
             load = {LOADS[k]: v for k, v in (event.get("healthInfo") or {}).items() if k in LOADS}
             handle.ended(
                 event.get("seqNo", 0),
                 VERDICTS[event["verdict"]],
-                event.get("latencyNs", 0) / NS,
+                event.get("latencyNs", 0) / NS_PER_SECOND,
                 event.get("closed", False),
                 event.get("detail", 0),
                 load,
@@ -156,7 +156,7 @@
         self.output: list[dict[str, Any]] = []
 
     def play(self, clock_ns: int, events: list[dict[str, dict[str, Any]]]) -> list[dict[str, Any]]:
-        self.clock.now = clock_ns / NS
+        self.clock.now = clock_ns / NS_PER_SECOND
         self.output.clear()
         touched: dict[int, None] = {}
         for message in events:
--- a/heathford/fleet/instances.py
+++ b/heathford/fleet/endpoint_list.py
@@ -7,7 +7,7 @@
 
 from heathford.core.protocols import Endpoint
 from heathford.fleet.engine_ages import EngineAges, ToldStart
-from heathford.fleet.follow import ListError, Row, number_of
+from heathford.fleet.list_watch import ListError, EndpointEntry, number_of
 from heathford.interface import Health, Role
 from heathford.wire.http1 import json_object
 
@@ -28,7 +28,7 @@
 LONG_AGO = Started(0, 0.0)
 
 
-class Instances:
+class EndpointList:
     """The list as last told. kinds: name to place and role; zones: names to places; warm_after: s.
 
     An entry that can't be read is passed over, told by `passed`. A change of an older version than the one
@@ -44,21 +44,21 @@
         self.version = -1
         self.newest = -1  # the latest version seen; more than `version` while discovery has gone back
         self.gone: dict[str, Started] = {}  # starts of instances that have gone, by uid
-        self.rows: dict[str, Row] = {}  # as last read, by uid
+        self.entries: dict[str, EndpointEntry] = {}  # as last read, by uid
         self.started: dict[str, Started] = {}  # by uid
         self.passed: dict[str, str] = {}
         self.ages = EngineAges(warm_after)
 
     def told(
         self, body: bytes, now: float, wall: float, listed: bool = False
-    ) -> tuple[bool, list[Row]] | None:
+    ) -> tuple[bool, list[EndpointEntry]] | None:
         """One object: whether it is complete, and its rows; None if it is old. listed: it answers a call for
         the whole list. Raises ListError."""
-        return self.told_object(json_object(body), now, wall, listed)
+        return self.apply_object(json_object(body), now, wall, listed)
 
-    def told_object(
+    def apply_object(
         self, told: Mapping[str, Any], now: float, wall: float, listed: bool = False
-    ) -> tuple[bool, list[Row]] | None:
+    ) -> tuple[bool, list[EndpointEntry]] | None:
         version, complete, entries = told.get("rev"), told.get("all"), told.get("targets")
         if not isinstance(version, int) or not isinstance(complete, bool) or not isinstance(entries, list):
             raise ListError("an object without rev, all and targets")
@@ -67,7 +67,7 @@
         if version < self.version and not listed:
             # Guards against news replayed: an engine long drained must not look open again.
             return None
-        rows: list[Row] = []
+        rows: list[EndpointEntry] = []
         present: dict[str, None] = {}
         nameless = False
         self.passed = {}
@@ -87,26 +87,28 @@
                 row = self.no_healthier(uid, row, held)
             present[uid] = None
             rows.append(row)
-            self.rows[uid] = row
+            self.entries[uid] = row
             if row[4] is Health.REMOVED:
                 self.forget(uid)
         # Of a list with an entry that does not say whose it is, nobody can say who is missing.
         complete = complete and not nameless
         if complete:
-            for uid in [uid for uid in self.rows if uid not in present]:
+            for uid in [uid for uid in self.entries if uid not in present]:
                 self.forget(uid)
             self.ages.first_list_taken = self.ages.first_list_taken or listed
         self.version, self.newest = version, max(version, self.newest)
         return complete, rows
 
-    def held(self, entry: Any) -> tuple[Row, int] | None:
+    def held(self, entry: Any) -> tuple[EndpointEntry, int] | None:
         """The row of that instance as it was, and the start that was told with it."""
         uid = entry.get("uid") if isinstance(entry, dict) else None
-        if not isinstance(uid, str) or uid not in self.rows:
+        if not isinstance(uid, str) or uid not in self.entries:
             return None
-        return self.rows[uid], self.started[uid].boot
+        return self.entries[uid], self.started[uid].boot
 
-    def no_healthier(self, uid: str, row: Row, held: tuple[Row, int] | None) -> Row:
+    def no_healthier(
+        self, uid: str, row: EndpointEntry, held: tuple[EndpointEntry, int] | None
+    ) -> EndpointEntry:
         """Guards against an older list that names an engine as serving after its drain or end was told:
         nothing new may go there. Could harm where a drain was taken back while discovery was restored."""
         boot, health = self.started[uid].boot, row[4]
@@ -119,19 +121,19 @@
             health = Health.REMOVED
         return (*row[:4], health, *row[5:])
 
-    def kept(self, entry: Any) -> tuple[str, Row] | None:
+    def kept(self, entry: Any) -> tuple[str, EndpointEntry] | None:
         """Guards against an entry that can't be read any more: the instance stays as it was, but for a state
         that can be read, as its drain has to be kept. Could harm where what can't be read is its address."""
         uid = entry.get("uid") if isinstance(entry, dict) else None
-        if not isinstance(uid, str) or uid not in self.rows:
+        if not isinstance(uid, str) or uid not in self.entries:
             return None
-        row, state = self.rows[uid], entry.get("state")
+        row, state = self.entries[uid], entry.get("state")
         health = STATES.get(state, row[4]) if isinstance(state, str) else row[4]
         return uid, (*row[:4], health, *row[5:])
 
-    def listed(self, zone: int) -> tuple[list[Endpoint], list[Endpoint]]:
+    def serving_endpoints(self, zone: int) -> tuple[list[Endpoint], list[Endpoint]]:
         """Those that are on, of that zone and of the others."""
-        on = [row for row in self.rows.values() if row[4] is Health.ON]
+        on = [row for row in self.entries.values() if row[4] is Health.ON]
         return [row[0] for row in on if row[1] == zone], [row[0] for row in on if row[1] != zone]
 
     def told_start(self, entry: Any) -> ToldStart | None:
@@ -144,13 +146,13 @@
         return ToldStart(self.kinds[model][1], boot / 1000)
 
     def forget(self, uid: str) -> None:
-        self.rows.pop(uid, None)
+        self.entries.pop(uid, None)
         self.gone.pop(uid, None)
         self.gone[uid] = self.started.pop(uid, LONG_AGO)
         if len(self.gone) > MOST_GONE:
             del self.gone[next(iter(self.gone))]
 
-    def row(self, entry: Any, now: float) -> tuple[str, Row]:
+    def row(self, entry: Any, now: float) -> tuple[str, EndpointEntry]:
         try:
             uid, boot = entry["uid"], int(entry.get("boot_ms") or 0)
             host, _, port = entry["endpoint"].rpartition(":")
@@ -164,7 +166,7 @@
             raise ListError(f"an instance that can't be read: {problem!r}") from None
         if not (host and 0 < number < 65536 and isfinite(size)):
             raise ListError("an instance that can't be read: its endpoint or capacity_hint is out of range")
-        endpoint = self.rows[uid][0] if uid in self.rows else None
+        endpoint = self.entries[uid][0] if uid in self.entries else None
         if endpoint is None or (endpoint.address, endpoint.port, endpoint.role) != (host, number, role):
             endpoint = Endpoint(known, uid, role, host, number)
         start = self.start_of(uid, boot, role, now)
--- a/heathford/fleet/follow.py
+++ b/heathford/fleet/list_watch.py
@@ -21,14 +21,14 @@
 SILENCE = 10.0  # s without a line after which a watch is held for dead: bookmarks come each second or so
 PHASES = {"Running": Health.ON, "Draining": Health.DRAINING, "Gone": Health.REMOVED}
 
-Row = tuple[Endpoint, int, int, int, Health, float, float]
+EndpointEntry = tuple[Endpoint, int, int, int, Health, float, float]
 
 
 class ListError(MalformedMessageError):
     """What the registry said can't be used; the list held stays valid."""
 
 
-class Follower:
+class RegistryFollower:
     """The list as last told, by engine. Every change comes out as rows for the core.
 
     kinds: name to place and role; zones, racks: names to places. What names another is passed over, told by
@@ -54,7 +54,7 @@
         self.failures = 0
         self.ages = EngineAges(warm_after)
 
-    def listed(self, body: bytes, now: float, wall: float) -> list[Row]:
+    def listed(self, body: bytes, now: float, wall: float) -> list[EndpointEntry]:
         """A complete list. now: s on the front's clock; wall: s since 1970. Raises ListError."""
         answer = json_object(body)
         version = version_of(answer.get("metadata"))
@@ -77,7 +77,7 @@
         self.failures = 0
         return rows
 
-    def watched(self, line: bytes, now: float, wall: float) -> list[Row] | None:
+    def watched(self, line: bytes, now: float, wall: float) -> list[EndpointEntry] | None:
         """One line of a watch: its rows; None where the list must be asked for again. Raises ListError."""
         event = json_object(line)
         kind, item = event.get("type"), event.get("object")
@@ -117,7 +117,7 @@
         except (KeyError, TypeError, ValueError, OverflowError):
             return None
 
-    def row(self, item: Any, now: float) -> tuple[str, Row]:
+    def row(self, item: Any, now: float) -> tuple[str, EndpointEntry]:
         try:
             name = item["metadata"]["name"]
             uid = item["metadata"].get("uid") or name
--- a/heathford/fleet/registry.py
+++ b/heathford/fleet/registry_client.py
@@ -8,7 +8,7 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from heathford.fleet.follow import SILENCE, Follower, Lines, ListError, Row
+from heathford.fleet.list_watch import SILENCE, RegistryFollower, Lines, ListError, EndpointEntry
 from heathford.wire.http1 import MalformedMessageError, Response, encode_request
 
 PATH = "/api/v1/engines"
@@ -18,20 +18,20 @@
 log = structlog.get_logger()
 
 
-class Registry:
+class RegistryClient:
     """Follows the list at an address until it is stopped; `changed` gets every change, in order."""
 
     def __init__(
         self,
         address: str,
         port: int,
-        follower: Follower,
-        changed: Callable[[bool, list[Row]], None],
+        follower: RegistryFollower,
+        changed: Callable[[bool, list[EndpointEntry]], None],
         source: str = "",
     ) -> None:
         self.address, self.port, self.follower, self.changed = address, port, follower, changed
         self.source = source
-        self.told = asyncio.Event()  # the first list is there
+        self.first_list = asyncio.Event()  # the first list is there
 
     async def run(self) -> None:
         while True:
@@ -50,7 +50,7 @@
         for what, why in self.follower.passed.items():
             log.error("engine passed over", engine=what, why=why)
         self.changed(True, rows)
-        self.told.set()
+        self.first_list.set()
 
     async def watch(self) -> None:
         lines = Lines(LONGEST)
--- a/heathford/front/memory.py
+++ b/heathford/front/memory.py
@@ -7,9 +7,9 @@
 import structlog
 
 from heathford.core.core import Tally
-from heathford.identity import counts, kept
-from heathford.identity.identities import Identities
-from heathford.identity.shared import Shared
+from heathford.identity import counts, stored_answers
+from heathford.identity.idempotency_table import IdempotencyTable
+from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 from heathford.store.files import LockedError
 from heathford.store.format import Change
@@ -29,7 +29,7 @@
 
     def __init__(self, store: Store | None, keep: float, serves: bool) -> None:
         self.store, self.keep, self.serves = store, keep, serves
-        self.deltas = counts.Deltas()
+        self.deltas = counts.UnwrittenCounts()
         self.start = 0
         self.without = 0  # completions that were served or refused without it
         self.counting: asyncio.Task[None] | None = None
@@ -47,23 +47,23 @@
 
     # What was kept.
 
-    def restore(self, identities: Identities, now: float) -> int:
+    def restore(self, identities: IdempotencyTable, now: float) -> int:
         """Puts back what earlier starts have kept; how many."""
         if self.store is None:
             return 0
         found = []
         for space, key, (value, until) in self.store.head.entries():
             left = (until or 0.0) - self.store.now
-            if space != kept.SPACE or (until is not None and left <= 0.0):
+            if space != stored_answers.SPACE or (until is not None and left <= 0.0):
                 continue
             try:
-                digest, effect, shared = kept.restored(value)
+                digest, effect, shared = stored_answers.decode_record(value)
             except ValueError as problem:
                 log.error("a kept completion can't be read", key=repr(key), why=str(problem))
                 continue
             found.append((left if until is not None else self.keep, key, digest, effect, shared))
         for left, key, digest, effect, shared in sorted(found, key=lambda entry: entry[0]):
-            member, mark = kept.member_and_mark(key)
+            member, mark = stored_answers.parse_store_key(key)
             identities.restore(member, mark, digest, effect, shared, now + left)
         return len(found)
 
@@ -73,7 +73,7 @@
             return
         store = self.store
         self.start = int(store.get(FRONT, b"start") or b"0") + 1
-        cut_off = counts.still_open(store.get(counts.SPACE, counts.TOTALS))
+        cut_off = counts.count_unfinished(store.get(counts.SPACE, counts.TOTALS))
         changes = [Change(FRONT, b"start", b"%d" % self.start)]
         if cut_off:
             changes += self.count_changes({"cut_off": cut_off})
@@ -87,7 +87,7 @@
     ) -> None:
         """then(True): it may run, and that is on disk where it has to be, or the rule says to go on without;
         then(False): it must not. Called once, at once or within PATIENCE."""
-        if not kept.needs_promise(effect):
+        if not stored_answers.must_be_stored_first(effect):
             then(True)
             return
         if self.store is None:
@@ -95,7 +95,10 @@
             return
         try:
             written = self.store.put(
-                kept.SPACE, kept.key_of(member, mark), kept.out(digest, effect), self.keep
+                stored_answers.SPACE,
+                stored_answers.store_key(member, mark),
+                stored_answers.encode_in_progress(digest, effect),
+                self.keep,
             )
         except StoreError:
             self.go_without(then)
@@ -124,13 +127,13 @@
             log.error("store gone or slow", rule=rule, completions=self.without)
         then(self.serves)
 
-    def ended(self, member: int, mark: str, digest: bytes, effect: Effect, shared: Shared) -> None:
+    def ended(self, member: int, mark: str, digest: bytes, effect: Effect, shared: SharedRequest) -> None:
         self.write(
             [
                 Change(
-                    kept.SPACE,
-                    kept.key_of(member, mark),
-                    kept.ended(digest, effect, shared),
+                    stored_answers.SPACE,
+                    stored_answers.store_key(member, mark),
+                    stored_answers.encode_final(digest, effect, shared),
                     None if self.store is None else self.store.now + self.keep,
                 )
             ]
@@ -138,8 +141,8 @@
 
     def forgets(self, member: int, mark: str, effect: Effect) -> None:
         """A repeat may run: nothing of it is out, and nothing has run."""
-        if kept.needs_promise(effect):
-            self.write([Change(kept.SPACE, kept.key_of(member, mark), None)])
+        if stored_answers.must_be_stored_first(effect):
+            self.write([Change(stored_answers.SPACE, stored_answers.store_key(member, mark), None)])
 
     def write(self, changes: list[Change]) -> None:
         """Nobody waits for it. If it is lost with the front, a repeat is aborted as one that was out."""
@@ -157,20 +160,25 @@
         store, key = self.store, counts.period_key(self.store.now)
         return [
             Change(
-                counts.SPACE, key, counts.added(store.get(counts.SPACE, key), more), store.now + counts.KEPT
+                counts.SPACE,
+                key,
+                counts.add_counts(store.get(counts.SPACE, key), more),
+                store.now + counts.PERIOD_RETENTION,
+            ),
+            Change(
+                counts.SPACE, counts.TOTALS, counts.add_counts(store.get(counts.SPACE, counts.TOTALS), more)
             ),
-            Change(counts.SPACE, counts.TOTALS, counts.added(store.get(counts.SPACE, counts.TOTALS), more)),
         ]
 
     def count_now(self, tally: Tally) -> "asyncio.Future[int] | None":
-        more = self.deltas.since({name: getattr(tally, name) for name in counts.NAMES})
+        more = self.deltas.unwritten({name: getattr(tally, name) for name in counts.NAMES})
         if self.store is None or not more:
             return None
         try:
             written = self.store.write(self.count_changes(more))
         except StoreError:
             return None
-        self.deltas.wrote(more)
+        self.deltas.mark_written(more)
 
         def done(future: "asyncio.Future[int]") -> None:
             if future.cancelled() or future.exception():
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -18,18 +18,18 @@
 from heathford.core.core import Core
 from heathford.engines.link import EngineLink
 from heathford.front.memory import Memory
-from heathford.fleet.follow import Follower
-from heathford.fleet.registry import Registry
+from heathford.fleet.list_watch import RegistryFollower
+from heathford.fleet.registry_client import RegistryClient
 from heathford.interface import Effect, Group, EngineKind, Role, Workload
 from heathford.script.script import Script
-from heathford.identity.identities import Identities
+from heathford.identity.idempotency_table import IdempotencyTable
 from heathford.sessions.life import Patience
 from heathford.sessions.limits import Room
 from heathford.sessions.offers import Offer, Offers
 from heathford.sessions.session import Desk
 from heathford.sessions.sharing import Shares
 from heathford.sessions.socket import Sockets
-from heathford.tls.files import keys_of
+from heathford.tls.files import keys_from_script
 
 log = structlog.get_logger()
 
@@ -46,10 +46,13 @@
         seeds = script.all("seed")
         seed = (seeds[0].value if seeds else 0) * len(fronts) + number
         loop = asyncio.get_running_loop()
-        self.keys, self.engine_keys = keys_of(script, "service_tls"), keys_of(script, "engine_tls")
+        self.keys, self.engine_keys = (
+            keys_from_script(script, "service_tls"),
+            keys_from_script(script, "engine_tls"),
+        )
         for keys in (self.keys, self.engine_keys):
             if keys:
-                keys.look()
+                keys.reload()
                 if not keys.context:
                     raise RuntimeError("the keys can't be used")
         self.link = EngineLink(
@@ -94,14 +97,14 @@
             safety.answer_margin,
             safety.stream_limit,
         )
-        follower = Follower(
+        follower = RegistryFollower(
             {k.name: (place, Role(k.role)) for place, k in enumerate(kinds)},
             zones,
             [r.name for r in script.all("rack")],
             seed,
             safety.warm_after,
         )
-        self.registry = Registry(
+        self.registry = RegistryClient(
             *registry, follower, self.core.apply_endpoint_list, source=self.declared.address
         )
         figures = script.only("sessions")
@@ -127,7 +130,7 @@
             offers,
             Room(figures.most_held, figures.most, figures.read_ahead),
             Shares(),
-            Identities(figures.identities, figures.come_back),
+            IdempotencyTable(figures.identities, figures.come_back),
             loop.time,
             loop.call_at,
             figures.most_out,
@@ -168,7 +171,7 @@
         loop = asyncio.get_running_loop()
         self.following = loop.create_task(self.registry.run())
         self.watching = [loop.create_task(k.watch()) for k in (self.keys, self.engine_keys) if k]
-        await self.registry.told.wait()
+        await self.registry.first_list.wait()
         if self.folder:
             memory = self.memory = await Memory.open(self.folder, self.come_back, self.serves_without)
             restored = memory.restore(self.desk.identities, loop.time())
@@ -196,7 +199,7 @@
         """Now, not at the next look."""
         for keys in (self.keys, self.engine_keys):
             if keys:
-                keys.look()
+                keys.reload()
 
     def drain(self) -> None:
         log.info("draining", open=self.core.open_count)
@@ -244,8 +247,8 @@
             rate_limited=tally.rate_limited,
             aborted=tally.aborted,
             left=tally.left,
-            first_tries=self.sockets.desk.tries.first,
-            tries_again=self.sockets.desk.tries.again,
+            first_tries=self.sockets.desk.tries.first_requests,
+            tries_again=self.sockets.desk.tries.repeats,
             faults=tally.faults,
             late=tally.late,
         )
--- a/heathford/fuzz/sessions.py
+++ b/heathford/fuzz/sessions.py
@@ -16,7 +16,7 @@
 from heathford.core.core import Core
 from heathford.core.protocols import Endpoint
 from heathford.fuzz.frames import VIOLATIONS, Case, frame, handshake, message, random_case, violation
-from heathford.identity.identities import Identities
+from heathford.identity.idempotency_table import IdempotencyTable
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Workload
 from heathford.sessions.life import Patience
 from heathford.sessions.limits import Room
@@ -90,7 +90,7 @@
             offers,
             Room(v["most_held"], v["most"], v["read_ahead"]),
             Shares(),
-            Identities(v["identities"], v["come_back"]),
+            IdempotencyTable(v["identities"], v["come_back"]),
             loop.time,
             loop.call_at,
             v["most_out"],
--- a/heathford/identity/identities.py
+++ b/heathford/identity/idempotency_table.py
@@ -7,60 +7,62 @@
 
 from enum import Enum
 
-from heathford.identity.shared import Shared
+from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 
 # In which order ended completions are forgotten: the later, the more a forgotten one could harm.
 FORGOTTEN = (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEYED, Effect.NON_IDEMPOTENT)
 
 
-class Found(Enum):
+class LookupResult(Enum):
     NEW = "new"
-    OUT = "out"
+    IN_PROGRESS = "out"
     ENDED = "ended"
     CONFLICT = "conflict"
-    NO_ROOM = "no room"  # to remember it: all that is remembered is out
+    TABLE_FULL = "no room"  # to remember it: all that is remembered is out
 
 
-class Identities:
+class IdempotencyTable:
     """keep: s for which a final answer is given again."""
 
     def __init__(self, most: int, keep: float) -> None:
         self.most, self.keep = most, keep
-        self.known: dict[tuple[int, str], tuple[bytes, Effect, Shared]] = {}
+        self.known: dict[tuple[int, str], tuple[bytes, Effect, SharedRequest]] = {}
         self.ended: dict[Effect, dict[tuple[int, str], float]] = {effect: {} for effect in FORGOTTEN}
         self.repeats = 0  # those that joined or got an answer again
 
-    def look(self, member: int, key: str, body: bytes, now: float) -> tuple[Found, Shared | None]:
+    def look_up(
+        self, member: int, key: str, body: bytes, now: float
+    ) -> tuple[LookupResult, SharedRequest | None]:
         """What is known of a completion; body: a digest of what was asked."""
         self.forget(now)
         found = self.known.get((member, key))
         if found is None:
-            return (Found.NEW if self.make_room() else Found.NO_ROOM), None
+            return (LookupResult.NEW if self.make_room() else LookupResult.TABLE_FULL), None
         digest, _, shared = found
         if digest != body:
-            return Found.CONFLICT, None
+            return LookupResult.CONFLICT, None
         self.repeats += 1
-        return (Found.ENDED if shared.over else Found.OUT), shared
+        return (LookupResult.ENDED if shared.over else LookupResult.IN_PROGRESS), shared
 
-    def begin(self, member: int, key: str, body: bytes, effect: Effect, shared: Shared) -> None:
+    def add(self, member: int, key: str, body: bytes, effect: Effect, shared: SharedRequest) -> None:
         self.known[member, key] = body, effect, shared
 
-    def end(self, member: int, key: str, now: float) -> None:
+    def mark_ended(self, member: int, key: str, now: float) -> None:
         """Its final answer is there."""
         found = self.known.get((member, key))
         if found:
             self.ended[found[1]][member, key] = now + self.keep
 
     def restore(
-        self, member: int, key: str, body: bytes, effect: Effect, shared: Shared, until: float
+        self, member: int, key: str, body: bytes, effect: Effect, shared: SharedRequest, until: float
     ) -> None:
         """One that an earlier start has kept; in the order of `until`."""
         if self.make_room():
             self.known[member, key] = body, effect, shared
             self.ended[effect][member, key] = until
 
-    def drop(self, member: int, key: str) -> None:
+    def remove(self, member: int, key: str) -> None:
         """Nothing is out of it any more and it may run again: a repeat is a new one."""
         found = self.known.pop((member, key), None)
         if found:
--- a/heathford/identity/shared.py
+++ b/heathford/identity/shared_request.py
@@ -7,21 +7,21 @@
 from heathford.core.accepted_request import AcceptedRequest
 
 
-class Shared:
+class SharedRequest:
     """What came of a completion so far, and who listens. A late listener gets the text from the start.
 
     ended: called once it has its final answer, or was let go.
     """
 
     def __init__(self, ended: Callable[[], None] = lambda: None) -> None:
-        self.taken: AcceptedRequest | None = None
+        self.request: AcceptedRequest | None = None
         self.name = ""  # as clients are told it, once it is taken
-        self.told: Mapping[str, Any] = {}  # how it ended, in plain values
+        self.final_fields: Mapping[str, Any] = {}  # how it ended, in plain values
         self.listeners: dict[ResponseWriter, None] = {}
         self.parts: list[str] = []
         self.final: Callable[[ResponseWriter], None] | None = None
         self.ended = ended
-        self.refused = self.done = False  # how it ended: rate-limited, finished, or neither
+        self.was_rate_limited = self.was_finished = False  # how it ended: rate-limited, finished, or neither
 
     @property
     def over(self) -> bool:
@@ -40,11 +40,11 @@
         self.listeners.pop(listener, None)
         return not self.listeners
 
-    def let_go(self) -> None:
+    def abandon(self) -> None:
         """Ends it without an answer: nobody wants it."""
         if not self.over:
-            if self.taken:
-                self.taken.client_left()
+            if self.request:
+                self.request.client_left()
             self.aborted("ended by its client")
 
     # heathford.core.protocols.ResponseWriter
@@ -58,17 +58,17 @@
             listener.tokens(text)
 
     def finished(self, reason: str, usage: Mapping[str, Any]) -> None:
-        self.done = True
-        self.told = {"final": "finished", "reason": reason, "usage": usage}
+        self.was_finished = True
+        self.final_fields = {"final": "finished", "reason": reason, "usage": usage}
         self.settle(lambda listener: listener.finished(reason, usage))
 
     def rate_limited(self, retry_after: float) -> None:
-        self.refused = True
-        self.told = {"final": "rate-limited"}
+        self.was_rate_limited = True
+        self.final_fields = {"final": "rate-limited"}
         self.settle(lambda listener: listener.rate_limited(retry_after))
 
     def aborted(self, why: str) -> None:
-        self.told = {"final": "aborted", "why": why}
+        self.final_fields = {"final": "aborted", "why": why}
         self.settle(lambda listener: listener.aborted(why))
 
     def settle(self, final: Callable[[ResponseWriter], None]) -> None:
--- a/heathford/identity/kept.py
+++ b/heathford/identity/stored_answers.py
@@ -11,50 +11,52 @@
 
 import orjson
 
-from heathford.identity.shared import Shared
+from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 
 SPACE = "identity"
-CUT_OFF = "its front was cut off while it was out: it may have run"
-LONGEST = 1 << 20  # bytes of a final answer that is kept; a longer one is kept as an abort that says so
-TOO_LONG = "it finished, but its answer was too long to be kept"
+MAY_HAVE_RUN = "its front was cut off while it was out: it may have run"
+MAX_ANSWER_CHARS = (
+    1 << 20
+)  # bytes of a final answer that is kept; a longer one is kept as an abort that says so
+ANSWER_TOO_LONG = "it finished, but its answer was too long to be kept"
 
 
-def key_of(member: int, mark: str) -> bytes:
+def store_key(member: int, mark: str) -> bytes:
     return b"%d/" % member + mark.encode("utf-8", "surrogatepass")
 
 
-def member_and_mark(key: bytes) -> tuple[int, str]:
+def parse_store_key(key: bytes) -> tuple[int, str]:
     member, _, mark = key.partition(b"/")
     return int(member), mark.decode("utf-8", "surrogatepass")
 
 
-def needs_promise(effect: Effect) -> bool:
+def must_be_stored_first(effect: Effect) -> bool:
     """Whether it must be on disk that it may run before it does."""
     return effect is not Effect.IDEMPOTENT
 
 
-def out(digest: bytes, effect: Effect) -> bytes:
+def encode_in_progress(digest: bytes, effect: Effect) -> bytes:
     return orjson.dumps({"body": digest.hex(), "effect": effect.value, "final": "out"})
 
 
-def ended(digest: bytes, effect: Effect, shared: Shared) -> bytes:
+def encode_final(digest: bytes, effect: Effect, shared: SharedRequest) -> bytes:
     """Of one that has its final answer."""
     text = "".join(shared.parts)
-    final = dict(shared.told)
-    if len(text) > LONGEST:
-        text, final = "", {"final": "aborted", "why": TOO_LONG}
+    final = dict(shared.final_fields)
+    if len(text) > MAX_ANSWER_CHARS:
+        text, final = "", {"final": "aborted", "why": ANSWER_TOO_LONG}
     return orjson.dumps(
         {"body": digest.hex(), "effect": effect.value, "name": shared.name, "text": text, **final}
     )
 
 
-def restored(value: bytes) -> tuple[bytes, Effect, Shared]:
+def decode_record(value: bytes) -> tuple[bytes, Effect, SharedRequest]:
     """Digest, effect and the completion as a repeat hears it; raises ValueError where it can't be read."""
     said: Mapping[str, Any] = orjson.loads(value)
     try:
         digest, effect = bytes.fromhex(said["body"]), Effect(said["effect"])
-        shared = Shared()
+        shared = SharedRequest()
         shared.name = said.get("name", "")
         if said["final"] == "finished":
             shared.parts = [said["text"]] if said["text"] else []
@@ -63,7 +65,7 @@
             shared.parts = [said["text"]] if said["text"] else []
             shared.aborted(said["why"])
         else:
-            shared.aborted(CUT_OFF)
+            shared.aborted(MAY_HAVE_RUN)
     except (KeyError, TypeError) as problem:
         raise ValueError(f"no kept completion: {problem!r}") from None
     return digest, effect, shared
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -14,12 +14,12 @@
 
 import structlog
 
-from heathford.bootinfo import NS, figures_of
+from heathford.bootinfo import NS_PER_SECOND, read_router_settings
 from heathford.core.core import Core
 from heathford.discovery.client import DiscoveryClient
 from heathford.discovery.follower import ListChange
 from heathford.early_signals import EARLY_SIGNALS
-from heathford.fleet.instances import Instances
+from heathford.fleet.endpoint_list import EndpointList
 from heathford.log_stream import LOG_STREAM
 from heathford.platform.client_server import STILL_ASKED, SWEEP, ClientServer
 from heathford.platform.link import PlatformLink
@@ -80,11 +80,11 @@
         self.name, self.listen, self.path = name, listen, path
         self.loop = asyncio.get_running_loop()
         settings = configuration["settings"]
-        limits, figures = settings["policyLimits"], figures_of(settings)
+        limits, figures = settings["policyLimits"], read_router_settings(settings)
         descriptors = Descriptors.of(
             int(configuration["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         )
-        self.instances = Instances(
+        self.instances = EndpointList(
             {
                 kind: (place, known.role)
                 for place, (kind, known) in enumerate(zip(settings["kinds"], figures["kinds"], strict=True))
@@ -93,11 +93,11 @@
             figures["warm_after"],
         )
         self.link = PlatformLink(
-            limits["connectTimeoutNs"] / NS,
+            limits["connectTimeoutNs"] / NS_PER_SECOND,
             figures["pin_limit"],
-            limits["connIdleNs"] / NS,
+            limits["connIdleNs"] / NS_PER_SECOND,
             descriptors.engines,
-            lambda: self.instances.listed(figures["zone"]),
+            lambda: self.instances.serving_endpoints(figures["zone"]),
         )
         self.core = Core(
             self.loop,
@@ -125,7 +125,7 @@
     async def start(self) -> None:
         if isinstance(self.known, dict):
             try:
-                found = self.instances.told_object(self.known, self.loop.time(), time.time())
+                found = self.instances.apply_object(self.known, self.loop.time(), time.time())
                 if found:
                     self.core.apply_endpoint_list(*found)
             except MalformedMessageError as problem:
@@ -134,8 +134,8 @@
         # Guards against first dispatches to engines that drain, or are gone: what the agent has counts as
         # told from a process's first moment, what is known from before may be old. Costs the wait where the
         # agent is silent: then that list is all there is.
-        if not await self.watch.first(FIRST_LIST):
-            log.warning("no list yet", known=len(self.instances.rows))
+        if not await self.watch.wait_for_first_list(FIRST_LIST):
+            log.warning("no list yet", known=len(self.instances.entries))
         sock = await self.listening_socket()
         if sock is None:
             return
@@ -171,7 +171,7 @@
         return None
 
     def list_changed(self, change: ListChange) -> None:
-        self.core.apply_endpoint_list(change.complete, change.rows)
+        self.core.apply_endpoint_list(change.complete, change.entries)
 
     def ask_again(self) -> None:
         """Guards against a list of which half was taken and which counts as current."""
@@ -236,7 +236,7 @@
         discovery = address_of(found["discovery"], "discovery")
         log.info("configuration read", discovery=f"{discovery[0]}:{discovery[1]}")
         if discovery != (self.watch.address, self.watch.port):
-            self.watch.move(*discovery)
+            self.watch.change_address(*discovery)
 
     def terminate(self) -> None:
         if not self.clients.stopping:
--- a/heathford/platform/start.py
+++ b/heathford/platform/start.py
@@ -7,7 +7,14 @@
 
 import orjson
 
-from heathford.bootinfo import SettingError, figure, figures_of, found, named, places
+from heathford.bootinfo import (
+    SettingError,
+    get_number,
+    read_router_settings,
+    get_setting,
+    setting_path,
+    list_indices,
+)
 
 READS_AT_START = 25  # of the configuration, at most: the system may have no descriptor for a moment
 READ_AGAIN = 0.02  # s between two of them
@@ -68,26 +75,28 @@
     address_of(said.get("discovery"), "discovery")
     settings = said["settings"]
     try:
-        figures_of(settings)
-        names(settings, "kinds", places(settings, "kinds", like=("familyInfo", "roleByKind")))
-        names(settings, "azs", places(settings, "azs"))
-        names(settings, "categories", places(settings, "categories"), "name")
+        read_router_settings(settings)
+        names(settings, "kinds", list_indices(settings, "kinds", same_length_as=("familyInfo", "roleByKind")))
+        names(settings, "azs", list_indices(settings, "azs"))
+        names(settings, "categories", list_indices(settings, "categories"), "name")
         for key in ("connIdleNs", "connectTimeoutNs"):
-            figure(settings, "policyLimits", key, least=1.0)
+            get_number(settings, "policyLimits", key, minimum=1.0)
         if said["limits"].get("sockets") is not None:
-            figure(said, "limits", "sockets")
+            get_number(said, "limits", "sockets")
     except SettingError as problem:
         raise StartError(f"the settings can't be used: {problem}") from None
     return said
 
 
-def names(settings: Mapping[str, Any], key: str, places: range, *below: str) -> None:
+def names(settings: Mapping[str, Any], key: str, indices: range, *below: str) -> None:
     """Raises SettingError unless each is a text of its own: the list and clients speak by them."""
     seen: dict[str, None] = {}
-    for place in places:
-        name = found(settings, key, place, *below)
+    for place in indices:
+        name = get_setting(settings, key, place, *below)
         if not isinstance(name, str) or name in seen:
-            raise SettingError(f"{named((key, place, *below))} is no name of its own: {str(name)[:80]!r}")
+            raise SettingError(
+                f"{setting_path((key, place, *below))} is no name of its own: {str(name)[:80]!r}"
+            )
         seen[name] = None
 
 
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -9,9 +9,9 @@
 
 from heathford.core.core import Core
 from heathford.core.protocols import Cancellable
-from heathford.identity.identities import Found, Identities
-from heathford.identity.shared import Shared
-from heathford.identity.tries import Tries
+from heathford.identity.idempotency_table import LookupResult, IdempotencyTable
+from heathford.identity.shared_request import SharedRequest
+from heathford.identity.repeat_counter import RepeatCounter
 from heathford.interface import Effect
 from heathford.sessions.guidance import Retry, after_abort, still_out
 from heathford.sessions.limits import LAST_CALL, RETRY_AFTER, Room, Waiting
@@ -49,7 +49,7 @@
         self, member: int, mark: str, digest: bytes, effect: Effect, then: Callable[[bool], None]
     ) -> None: ...
 
-    def ended(self, member: int, mark: str, digest: bytes, effect: Effect, shared: Shared) -> None: ...
+    def ended(self, member: int, mark: str, digest: bytes, effect: Effect, shared: SharedRequest) -> None: ...
 
     def forgets(self, member: int, mark: str, effect: Effect) -> None: ...
 
@@ -64,7 +64,7 @@
         offers: Offers,
         room: Room,
         shares: "Shares[Answer]",
-        identities: Identities,
+        identities: IdempotencyTable,
         now: Callable[[], float],
         later: Callable[[float, Callable[[], None]], Cancellable],
         most_out: int,
@@ -72,7 +72,7 @@
     ) -> None:
         self.core, self.offers, self.room, self.shares = core, offers, room, shares
         self.identities, self.now, self.later = identities, now, later
-        self.tries = Tries(identities.most, identities.keep)
+        self.tries = RepeatCounter(identities.most, identities.keep)
         self.most_out, self.most_waiting = most_out, most_waiting
         self.retry_after = RETRY_AFTER
         self.memory: Memory | None = None
@@ -131,14 +131,14 @@
         """Takes what offers.read gave, of so many bytes; no two of one key are out at once. attempt: which
         try its client says that it is."""
         desk = self.desk
-        desk.tries.counts(asked["member"], asked["mark"], received, attempt)
+        desk.tries.count(asked["member"], asked["mark"], received, attempt)
         answer = Answer(self, key, asked, received, size)
         if asked["mark"]:
             answer.digest = blake2b(orjson.dumps(asked["body"]), digest_size=16).digest()
             found = answer.look_up()
-            if found is Found.NO_ROOM:
+            if found is LookupResult.TABLE_FULL:
                 self.refuse(key)
-            if found is not Found.NEW:
+            if found is not LookupResult.NEW:
                 return
         if desk.stopping or not desk.room.fits(size):
             self.refuse(key)
@@ -154,7 +154,7 @@
     def refuse(self, key: Any) -> None:
         self.voice.rate_limited(key, "", self.desk.retry_after)
 
-    def join(self, answer: "Answer", shared: Shared) -> None:
+    def join(self, answer: "Answer", shared: SharedRequest) -> None:
         """A repeat: it gets what the first gets, and no dispatch of its own."""
         self.answers[answer.key] = answer
         answer.shared = shared
@@ -227,7 +227,7 @@
         self.session, self.key, self.asked, self.received, self.size = session, key, asked, received, size
         self.due: float = received + asked["timeout"] - session.desk.core.answer_margin
         self.digest = b""
-        self.shared: Shared | None = None
+        self.shared: SharedRequest | None = None
         self.timer: Cancellable | None = None
         self.holds = self.started = self.over = False
         self.let_in: float | None = None  # since when it has a place in the shares' window
@@ -244,12 +244,12 @@
         """s within which its first token is wanted."""
         return self.session.desk.offers.target(self.asked["workload"], self.asked["prompt"])
 
-    def look_up(self) -> Found:
+    def look_up(self) -> LookupResult:
         """Joins one with its key that is known; NEW and NO_ROOM are left to the caller. A repeat gets what
         the first gets, and no dispatch of its own."""
         desk, member, mark = self.session.desk, self.asked["member"], self.asked["mark"]
-        found, shared = desk.identities.look(member, mark, self.digest, desk.now())
-        if found is Found.CONFLICT:
+        found, shared = desk.identities.look_up(member, mark, self.digest, desk.now())
+        if found is LookupResult.CONFLICT:
             self.close()
             self.session.voice.conflict(self.key)
         elif shared is not None:
@@ -271,34 +271,34 @@
         if mark:
             # Guards against two with one key that both waited here: each was new when it was asked.
             found = self.look_up()
-            if found is Found.NO_ROOM:
+            if found is LookupResult.TABLE_FULL:
                 self.turned_away()
-            if found is not Found.NEW:
+            if found is not LookupResult.NEW:
                 return
         effect = desk.core.workloads[asked["workload"]].effect
 
         def ended() -> None:
             # A refusal promises that a new try does no harm, so it must not be what the new try gets; and
             # what may run again is run again. All else is given again as it was.
-            if shared.refused or (effect is Effect.IDEMPOTENT and not shared.done):
-                desk.identities.drop(member, mark)
+            if shared.was_rate_limited or (effect is Effect.IDEMPOTENT and not shared.was_finished):
+                desk.identities.remove(member, mark)
                 if mark and desk.memory:
                     desk.memory.forgets(member, mark, effect)
             else:
-                desk.identities.end(member, mark, desk.now())
+                desk.identities.mark_ended(member, mark, desk.now())
                 if mark and desk.memory:
                     desk.memory.ended(member, mark, self.digest, effect, shared)
 
-        shared = self.shared = Shared(ended)
+        shared = self.shared = SharedRequest(ended)
         shared.join(self)
         if mark:
-            desk.identities.begin(member, mark, self.digest, effect, shared)
+            desk.identities.add(member, mark, self.digest, effect, shared)
         if mark and desk.memory:
             desk.memory.begins(member, mark, self.digest, effect, lambda good: self.run(shared, good))
         else:
             self.run(shared, True)
 
-    def run(self, shared: Shared, good: bool) -> None:
+    def run(self, shared: SharedRequest, good: bool) -> None:
         """It goes to the decisions, now that what must be kept of it is."""
         session = self.session
         if shared.over:
@@ -306,7 +306,7 @@
         if not good:
             shared.rate_limited(session.desk.retry_after)
             return
-        taken = shared.taken = session.desk.core.accept(
+        taken = shared.request = session.desk.core.accept(
             shared, session=session.name, received=self.received, **self.asked
         )
         shared.name = taken.name
@@ -397,7 +397,7 @@
         if shared.leave(self) and not shared.over:
             effect = desk.core.workloads[self.asked["workload"]].effect
             if cancelled or effect is Effect.IDEMPOTENT or not self.asked["mark"]:
-                shared.let_go()
+                shared.abandon()
 
     def close(self) -> None:
         if self.over:
--- a/heathford/standin/process.py
+++ b/heathford/standin/process.py
@@ -10,7 +10,7 @@
 from heathford.standin.engine import Engine
 from heathford.standin.registry import Registry
 from heathford.standin.server import Server
-from heathford.tls.files import keys_of
+from heathford.tls.files import keys_from_script
 
 
 async def until_told() -> None:
@@ -44,9 +44,9 @@
         safety.cold_window,
         **kind.stand_in,
     )
-    serve, fetch = keys_of(script, "stand_in_tls"), keys_of(script, "engine_tls")
+    serve, fetch = keys_from_script(script, "stand_in_tls"), keys_from_script(script, "engine_tls")
     if serve:
-        serve.look()
+        serve.reload()
         if not serve.context:
             raise RuntimeError("the stand-ins' keys can't be used")
         among = None
--- a/heathford/tls/files.py
+++ b/heathford/tls/files.py
@@ -11,13 +11,13 @@
 from heathford.tls.keys import Pem, Purpose, Step, Turnover, faults, utc
 
 LOOK = 2.0  # s between two looks at the files: one stat each
-PROTOCOLS = ["http/1.1"]  # for ALPN: all that is spoken here, sessions included
+ALPN_PROTOCOLS = ["http/1.1"]  # for ALPN: all that is spoken here, sessions included
 NEEDED = {"none": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
 
 log = structlog.get_logger()
 
 
-class Keys:
+class KeyFiles:
     """The keys of one purpose. changed: gets each new context.
 
     folder: what the paths are relative to. clients: whether certificates are asked of clients.
@@ -50,7 +50,7 @@
         serving = self.purpose is Purpose.SERVER
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if serving else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
-        context.set_alpn_protocols(PROTOCOLS)
+        context.set_alpn_protocols(ALPN_PROTOCOLS)
         if serving:
             # A session resumed by a ticket would outlive what its client's certificate was checked against.
             context.num_tickets = 0
@@ -63,7 +63,7 @@
             context.load_verify_locations(authority)
         return context
 
-    def look(self) -> Step:
+    def reload(self) -> Step:
         """Takes what the files hold now, if it is new and good."""
         found = self.read()
         step, why = self.turnover.look(found, utc())
@@ -107,23 +107,23 @@
             marks = self.stat()
             if marks != self.marks or self.turnover.refused is not None or loop.time() - read_at > 60.0:
                 self.marks, read_at = marks, loop.time()
-                self.look()
+                self.reload()
 
 
-def keys_of(script: Script, word: str) -> Keys | None:
+def keys_from_script(script: Script, word: str) -> KeyFiles | None:
     """Those that the script declares by that word."""
     calls = script.all(word)
     if not calls:
         return None
     declared, folder = calls[0], script.path.parent
     if word == "engine_tls":
-        return Keys(folder, Purpose.CLIENT, declared.certificate, declared.key, declared.authority)
-    return Keys(
+        return KeyFiles(folder, Purpose.CLIENT, declared.certificate, declared.key, declared.authority)
+    return KeyFiles(
         folder, Purpose.SERVER, declared.certificate, declared.key, declared.authority, declared.clients
     )
 
 
-def key_mistakes(script: Script) -> list[Mistake]:
+def find_key_errors(script: Script) -> list[Mistake]:
     """What is wrong with the keys that a script names, at the lines that name them."""
     found = []
     for word in ("service_tls", "stand_in_tls", "engine_tls"):
@@ -142,7 +142,7 @@
         return [("certificate", "certificate and key go together: both or neither")]
     if declared.values.get("clients", "none") != "none" and not declared.authority:
         return [("authority", "is needed where certificates are asked of clients")]
-    keys = keys_of(script, declared.word)
+    keys = keys_from_script(script, declared.word)
     assert keys
     data = []
     for name, path in zip(("certificate", "key", "authority"), keys.paths, strict=True):
--- a/tests/test_bootinfo.py
+++ b/tests/test_bootinfo.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from heathford.bootinfo import SettingError, figures_of
+from heathford.bootinfo import SettingError, read_router_settings
 from heathford.interface import Effect, Group, Role
 from heathford.platform.start import StartError, read_configuration
 from heathford.standin.platform import settings
@@ -88,7 +88,7 @@
 )
 def test_what_is_missing_or_can_not_be_used_is_told_by_its_name(where: str, value: Any, said: str) -> None:
     with pytest.raises(SettingError) as problem:
-        figures_of(changed(where, value))
+        read_router_settings(changed(where, value))
     assert said in str(problem.value)
 
 
@@ -109,17 +109,17 @@
 def test_what_need_not_be_told_is_the_careful_choice_and_what_is_unknown_is_passed_over(
     where: str, value: Any, key: str, found: Any
 ) -> None:
-    assert figures_of(changed(where, value))[key] == found
+    assert read_router_settings(changed(where, value))[key] == found
 
 
 def test_group_and_time_count_for_tokened_workloads() -> None:
-    tokened, other = figures_of(changed("categories.0", GUARDED))["workloads"]
+    tokened, other = read_router_settings(changed("categories.0", GUARDED))["workloads"]
     assert (tokened.effect, tokened.group, tokened.key_ttl) == (Effect.IDEMPOTENCY_KEYED, Group.CELL, 2.0)
     assert (other.effect, other.group, other.value) == (Effect.NON_IDEMPOTENT, Group.ALL, 1.0)
 
 
 def test_kinds_take_their_roles_in_turn() -> None:
-    assert [kind.role for kind in figures_of(settings())["kinds"]] == [Role.PREFILL, Role.DECODE]
+    assert [kind.role for kind in read_router_settings(settings())["kinds"]] == [Role.PREFILL, Role.DECODE]
 
 
 @pytest.mark.parametrize(
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -422,8 +422,8 @@
         while not any(s.going for s in client.sessions.values()):  # type: ignore[attr-defined]
             await asyncio.sleep(0.001)
         assert (await client.complete("w", "x", max_tokens=2)).text == "tt"
-        assert fronts[1].core.tally.finished == 1 and fronts[0].desk.tries.first == 1
-        assert fronts[0].desk.tries.again == 0
+        assert fronts[1].core.tally.finished == 1 and fronts[0].desk.tries.first_requests == 1
+        assert fronts[0].desk.tries.repeats == 0
 
     two_fronts(fleet, "websocket", scene)
 
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -21,7 +21,7 @@
     ListChange,
 )
 from heathford.discovery.json_stream import JsonStream
-from heathford.fleet.instances import Instances
+from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Health, Role
 from heathford.wire.http1 import MalformedMessageError
 
@@ -51,13 +51,13 @@
         self.calls: list[tuple[float, CallKind]] = []
         self.known: dict[str, Health] = {}
         self.acted: dict[tuple[str, Health], float] = {}  # when the follower first said so
-        self.endpoints = Instances({"m": (0, Role.DECODE)}, ["z"])
+        self.endpoints = EndpointList({"m": (0, Role.DECODE)}, ["z"])
         self.follower = DiscoveryFollower(self.endpoints, self.changed)
 
     # What the follower says.
 
     def changed(self, change: ListChange) -> None:
-        said = {row[0].name: row[4] for row in change.rows}
+        said = {row[0].name: row[4] for row in change.entries}
         if change.complete:
             said |= {name: Health.REMOVED for name in self.known if name not in said}
         self.known |= said
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -6,7 +6,7 @@
 import orjson
 import pytest
 
-from heathford.fleet.follow import Follower
+from heathford.fleet.list_watch import RegistryFollower
 from heathford.interface import Role
 
 GOOD: dict[str, Any] = {
@@ -34,10 +34,10 @@
 
 def followed(*items: Any) -> tuple[list[str], list[str]]:
     """Names told, and why others were passed over."""
-    follower = Follower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
+    follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
     body = orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": list(items)})
-    rows = follower.listed(body, 50.0, 1.8e9)
-    return [row[0].name for row in rows], list(follower.passed.values())
+    entries = follower.listed(body, 50.0, 1.8e9)
+    return [row[0].name for row in entries], list(follower.passed.values())
 
 
 @pytest.mark.parametrize(
@@ -73,7 +73,7 @@
 
 
 def test_a_start_before_this_clock_began_is_no_new_one() -> None:
-    follower = Follower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
+    follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
     body = orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": [item()]})
     [row] = follower.listed(body, 50.0, 1.8e9)
     assert row[6] < -1e6
@@ -83,10 +83,10 @@
     """What happened: the wall clock of a front is set forward by an hour in service, and an engine that
     starts then looks an hour old, so that it is pushed over. Why: each age was taken from the wall clock as
     it stood. What showed it: an age of 3,601 s, where the engine had started 1 s before."""
-    follower = Follower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
+    follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
     wall = datetime.fromisoformat(GOOD["start"]).timestamp() + 600.0
     follower.listed(orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": [item()]}), 50.0, wall)
     started = datetime.fromtimestamp(wall + 9.0, UTC).isoformat()
     added = {"type": "ADDED", "object": item(uid="u2", name="e2", version="10", start=started)}
-    rows = follower.watched(orjson.dumps(added), 60.0, wall + 10.0 + 3_600.0)
-    assert rows and 0.0 <= 60.0 - rows[0][6] <= 1.1
+    entries = follower.watched(orjson.dumps(added), 60.0, wall + 10.0 + 3_600.0)
+    assert entries and 0.0 <= 60.0 - entries[0][6] <= 1.1
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -6,8 +6,8 @@
 import pytest
 
 from heathford.engines.pools import ConnectionPools
-from heathford.fleet.follow import Lines, ListError
-from heathford.fleet.instances import LONGEST, Instances
+from heathford.fleet.list_watch import Lines, ListError
+from heathford.fleet.endpoint_list import LONGEST, EndpointList
 from heathford.interface import Health, Role
 
 KINDS = {"m0": (0, Role.PREFILL), "m1": (1, Role.DECODE)}
@@ -36,7 +36,7 @@
 
 
 def test_a_row_says_all_that_is_told() -> None:
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
     found = instances.told(said(4, True, entry("s", boot_ms=990_000)), now=50.0, wall=1000.0)
     assert found and found[0]
     endpoint, *rest = found[1][0]
@@ -83,7 +83,7 @@
     ],
 )
 def test_lines_in_turn(lines: list[bytes], told: list[Any]) -> None:
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
     assert [brief(instances.told(line, 50.0, 1000.0)) for line in lines] == told
 
 
@@ -113,7 +113,7 @@
 )
 def test_an_entry_that_can_not_be_read_is_told_and_the_others_count(wrong: dict[str, Any]) -> None:
     """Seen: a uid that is no text raised out of the watch, which then followed discovery no more."""
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
     found = instances.told(said(1, False, {**entry("s"), **wrong}, entry("t")), 50.0, 1000.0)
     assert brief(found) == (False, [("t", Health.ON)]) and len(instances.passed) == 1
 
@@ -122,14 +122,14 @@
     "without", [{"az": ""}, {"az": None}, {"pod_group": None}, {"capacity_hint": None}, {"boot_ms": None}]
 )
 def test_a_layout_without_zones_cells_weights_or_starts_is_read(without: dict[str, Any]) -> None:
-    found = Instances(KINDS, [] if "az" in without else ["a", "b"]).told(
+    found = EndpointList(KINDS, [] if "az" in without else ["a", "b"]).told(
         said(1, True, entry("s", **without)), 50.0, 1000.0
     )
     assert found and found[0] and found[1][0][1] == (0 if "az" in without else 1)
 
 
 def test_a_list_and_a_line_of_1024_instances_are_told_whole() -> None:
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
     entries = [entry(f"s{n}", endpoint=f"127.0.{n // 256}.{n % 256}:9000") for n in range(1024)]
     found = instances.told(said(1, True, *entries), 50.0, 1000.0)
     assert found and found[0] and len({row[0].number for row in found[1]}) == 1024
@@ -142,12 +142,12 @@
 @pytest.mark.parametrize("line", [b"", b"[]", b"{", said("1", True), said(1, 1), said(1, True)[:-9] + b"3}"])
 def test_what_is_no_object_of_the_list_is_told(line: bytes) -> None:
     with pytest.raises(Exception) as problem:
-        Instances(KINDS, ["a"]).told(line, 50.0, 1000.0)
+        EndpointList(KINDS, ["a"]).told(line, 50.0, 1000.0)
     assert isinstance(problem.value, ListError) or "JSON" in str(problem.value)
 
 
 def test_a_restart_counts_from_what_was_told_and_an_address_may_change() -> None:
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
 
     def started(wall: float, **more: Any) -> tuple[float, int]:
         found = instances.told(said(1, False, entry("s", **more)), 50.0, wall)
@@ -162,11 +162,11 @@
 
 
 def test_thousands_of_instances_leave_nothing_behind() -> None:
-    instances = Instances(KINDS, ["a", "b"])
+    instances = EndpointList(KINDS, ["a", "b"])
     for n in range(3000):
         instances.told(said(n + 1, False, entry(f"s{n}"), entry(f"s{n - 5}", state="DELETED")), 1.0, 1.0)
     instances.told(said(4000, True, entry("last")), 1.0, 1.0)
-    assert list(instances.rows) == ["last"] and list(instances.started) == ["last"]
+    assert list(instances.entries) == ["last"] and list(instances.started) == ["last"]
 
 
 class Line:
@@ -209,7 +209,7 @@
 @pytest.mark.parametrize("step", STEPS)
 def test_a_wall_clock_that_steps_in_service_makes_no_engine_older_or_younger(step: float) -> None:
     """An engine started 0.2 s ago is cold, one started long ago is warm, whatever the wall clock says."""
-    instances = Instances({"m0": (0, Role.PREFILL)}, ["a"])
+    instances = EndpointList({"m0": (0, Role.PREFILL)}, ["a"])
     wall = 1_700_000_000.0
 
     def entry(uid: str, age: float, now: float) -> dict[str, Any]:
@@ -224,10 +224,10 @@
             "boot_ms": int(1000 * (wall + now - 100.0 - age)),
         }
 
-    instances.told_object({"rev": 1, "all": True, "targets": [entry("old", 500.0, 100.0)]}, 100.0, wall)
+    instances.apply_object({"rev": 1, "all": True, "targets": [entry("old", 500.0, 100.0)]}, 100.0, wall)
     change = {"rev": 2, "all": False, "targets": [entry("new", 0.2, 110.0), entry("late", 60.0, 110.0)]}
-    instances.told_object(change, 110.0, wall + 10.0 + step)
-    started = {uid: row[6] for uid, row in instances.rows.items()}
+    instances.apply_object(change, 110.0, wall + 10.0 + step)
+    started = {uid: row[6] for uid, row in instances.entries.items()}
     assert started["new"] == pytest.approx(109.8, abs=0.01)
     assert started["late"] == pytest.approx(50.0, abs=0.01)
     assert started["old"] == pytest.approx(-400.0, abs=0.01)
@@ -235,7 +235,7 @@
 
 def test_true_time_is_never_before_a_start_that_was_told() -> None:
     """The wall clock was an hour behind when the process started."""
-    instances = Instances({"m0": (0, Role.PREFILL)}, ["a"])
+    instances = EndpointList({"m0": (0, Role.PREFILL)}, ["a"])
     true = 1_700_000_000.0
     entries = [
         {
@@ -250,5 +250,5 @@
         }
         for uid, age in (("warm", 60.0), ("new", 0.0), ("odd", -1e9))
     ]
-    instances.told_object({"rev": 1, "all": True, "targets": entries}, 100.0, true - 3_600.0)
-    assert instances.rows["warm"][6] == pytest.approx(40.0, abs=0.01)
+    instances.apply_object({"rev": 1, "all": True, "targets": entries}, 100.0, true - 3_600.0)
+    assert instances.entries["warm"][6] == pytest.approx(40.0, abs=0.01)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -12,8 +12,8 @@
 from heathford.core.core import Tally
 from heathford.front.memory import Memory
 from heathford.fuzz.sessions import Served
-from heathford.identity import counts, kept
-from heathford.identity.shared import Shared
+from heathford.identity import counts, stored_answers
+from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 from heathford.store.store import Store, StoreError
 
@@ -112,14 +112,14 @@
             if runs_again:
                 assert said["result"]["final"] == "finished"
             else:
-                assert said["error"]["message"] == kept.CUT_OFF and start.served.link.sent == 0
+                assert said["error"]["message"] == stored_answers.MAY_HAVE_RUN and start.served.link.sent == 0
                 assert said["error"]["data"]["final"] == "aborted"
         assert start.memory.store
         totals = json.loads(start.memory.store.get(counts.SPACE, counts.TOTALS) or b"")
         assert totals["taken"] == 1 and totals["cut_off"] == 1
 
     async def again(start: Start) -> None:
-        assert start.memory.store and counts.still_open(
+        assert start.memory.store and counts.count_unfinished(
             start.memory.store.get(counts.SPACE, counts.TOTALS)
         ) in (0, -0)
 
@@ -134,7 +134,12 @@
         true = start.served.core.accept
 
         def take(*args: Any, **more: Any) -> Any:
-            seen.append(json.loads(store.durable.get(kept.SPACE, kept.key_of(0, "k"), store.now) or b"{}"))
+            seen.append(
+                json.loads(
+                    store.durable.get(stored_answers.SPACE, stored_answers.store_key(0, "k"), store.now)
+                    or b"{}"
+                )
+            )
             return true(*args, **more)
 
         start.served.core.accept = take  # type: ignore[method-assign]
@@ -179,32 +184,39 @@
 
 
 def test_counts_add_up_whatever_is_written_and_lost() -> None:
-    tally, deltas, totals = Tally(), counts.Deltas(), b""
+    tally, deltas, totals = Tally(), counts.UnwrittenCounts(), b""
     for step in range(50):
         tally.taken += 3
         tally.finished += 1
         tally.left += step % 2
-        more = deltas.since({name: getattr(tally, name) for name in counts.NAMES})
-        deltas.wrote(more)
+        more = deltas.unwritten({name: getattr(tally, name) for name in counts.NAMES})
+        deltas.mark_written(more)
         if step % 5 == 4:
             deltas.undo(more)  # the write failed
             continue
-        totals = counts.added(totals, more)
-    totals = counts.added(totals, deltas.since({name: getattr(tally, name) for name in counts.NAMES}))
+        totals = counts.add_counts(totals, more)
+    totals = counts.add_counts(
+        totals, deltas.unwritten({name: getattr(tally, name) for name in counts.NAMES})
+    )
     found = json.loads(totals)
     assert (found["taken"], found["finished"], found["left"]) == (150, 50, 25)
-    assert counts.still_open(totals) == 75
-    assert counts.still_open(counts.added(totals, {"cut_off": 75})) == 0
+    assert counts.count_unfinished(totals) == 75
+    assert counts.count_unfinished(counts.add_counts(totals, {"cut_off": 75})) == 0
 
 
 @pytest.mark.parametrize("value", [b"{}", b'{"body":"zz"}', b"[]", b'{"body":"","effect":"x","final":"out"}'])
 def test_a_kept_completion_that_cannot_be_read_is_told(value: bytes) -> None:
     with pytest.raises(ValueError):
-        kept.restored(value)
+        stored_answers.decode_record(value)
 
 
 def test_an_answer_too_long_to_be_kept_is_an_abort_that_says_so() -> None:
-    shared = Shared()
-    shared.tokens("x" * (kept.LONGEST + 1))
+    shared = SharedRequest()
+    shared.tokens("x" * (stored_answers.MAX_ANSWER_CHARS + 1))
     shared.finished("stop", {})
-    assert kept.restored(kept.ended(b"d", Effect.IDEMPOTENCY_KEYED, shared))[2].told["why"] == kept.TOO_LONG
+    assert (
+        stored_answers.decode_record(stored_answers.encode_final(b"d", Effect.IDEMPOTENCY_KEYED, shared))[
+            2
+        ].final_fields["why"]
+        == stored_answers.ANSWER_TOO_LONG
+    )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -17,7 +17,7 @@
 
 from heathford.child_signals import send_signal
 from heathford.discovery.client import DiscoveryClient
-from heathford.fleet.instances import Instances
+from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Health, Role
 from heathford.standin.platform import EVENTS, GOOD, Agent, ScriptedEngine, settings
 
@@ -522,8 +522,8 @@
     watch = DiscoveryClient(
         host,
         int(port),
-        Instances({"m1": (0, Role.DECODE)}, ["a", "b"]),
-        lambda change: heard.extend(row[4] for row in change.rows),
+        EndpointList({"m1": (0, Role.DECODE)}, ["a", "b"]),
+        lambda change: heard.extend(row[4] for row in change.entries),
     )
     watch.start()
     try:
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -193,11 +193,11 @@
         def moved(self: CallProtocol, transport: asyncio.BaseTransport) -> None:
             if not closed:
                 closed.append(self)
-                watch.move(watch.address, watch.port)
+                watch.change_address(watch.address, watch.port)
             made(self, transport)
 
         monkeypatch.setattr(CallProtocol, "connection_made", moved)
-        watch.move(watch.address, watch.port)
+        watch.change_address(watch.address, watch.port)
         await until(
             lambda: bool(closed) and bool(watch.protocols) and closed[0] not in watch.protocols.values(),
             "another call",
@@ -207,7 +207,7 @@
         assert closed[0].transport is not None and closed[0].transport.is_closing()
         other = decode("w2")
         play.publish_entries(other)
-        await until(lambda: "w2" in play.node.instances.rows, "the change")
+        await until(lambda: "w2" in play.node.instances.entries, "the change")
         other.close()
 
     run_scenario(tmp_path, day)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -19,7 +19,7 @@
 from heathford.client.base import Client
 from heathford.client.retry import Attempt, Budget, Fronts, Trouble
 from heathford.fuzz.sessions import Served
-from heathford.identity.tries import Tries
+from heathford.identity.repeat_counter import RepeatCounter
 from heathford.interface import Effect, Health, Outcome
 from heathford.sessions.versions import VersionError, of_header, of_subprotocols
 from heathford.terminal.app import TryApp
@@ -164,9 +164,9 @@
 
 
 def test_first_tries_and_tries_again_are_counted_apart() -> None:
-    tries = Tries(3, 10.0)
+    tries = RepeatCounter(3, 10.0)
     seen = [
-        tries.counts(*one)
+        tries.count(*one)
         for one in (
             (0, "a", 1.0),
             (0, "a", 2.0),
@@ -181,7 +181,7 @@
         )
     ]
     assert seen == [True, False, True, True, True, False, True, True, True, True]
-    assert (tries.first, tries.again) == (8, 2) and len(tries.lately) <= 3
+    assert (tries.first_requests, tries.repeats) == (8, 2) and len(tries.lately) <= 3
 
 
 # The version before: its library, and its service.
@@ -316,7 +316,7 @@
         assert (found.text, ended) == ("ü" * 8, "finished") and found.tries == 2 and middleman.broken == 1
         assert served.core.tally.taken == 1 and served.link.sent == 2
         tries = served.desk.tries
-        assert (tries.first, tries.again) == (1, 1)
+        assert (tries.first_requests, tries.repeats) == (1, 1)
         middleman.server.close()
         served.server.stop()
 
@@ -334,7 +334,7 @@
                 await client.complete("w", "x" * 400, timeout=2.0)
         assert loop.time() - begin < 2.2 and refused.value.retry_after > 0
         counts = [f.desk.tries for f in fronts]
-        assert sum(t.first for t in counts) == 1 and 1 <= sum(t.again for t in counts) <= 4
+        assert sum(t.first_requests for t in counts) == 1 and 1 <= sum(t.repeats for t in counts) <= 4
         for front in fronts:
             front.server.stop()
 
--- a/tests/test_session_rules.py
+++ b/tests/test_session_rules.py
@@ -10,8 +10,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from heathford.identity.identities import Found, Identities
-from heathford.identity.shared import Shared
+from heathford.identity.idempotency_table import LookupResult, IdempotencyTable
+from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 from heathford.sessions.life import Life, Lookout, Patience, Step
 from heathford.sessions.limits import LAST_CALL, Waiting, farewell
@@ -175,40 +175,44 @@
     "steps",
     [
         [
-            ("look", b"x", 1.0, Found.NEW),
-            ("look", b"x", 2.0, Found.OUT),
-            ("look", b"y", 2.0, Found.CONFLICT),
+            ("look", b"x", 1.0, LookupResult.NEW),
+            ("look", b"x", 2.0, LookupResult.IN_PROGRESS),
+            ("look", b"y", 2.0, LookupResult.CONFLICT),
             ("end", b"x", 3.0, None),
-            ("look", b"x", 12.9, Found.ENDED),
-            ("look", b"x", 13.1, Found.NEW),
+            ("look", b"x", 12.9, LookupResult.ENDED),
+            ("look", b"x", 13.1, LookupResult.NEW),
+        ],
+        [
+            ("look", b"x", 1.0, LookupResult.NEW),
+            ("drop", b"x", 2.0, None),
+            ("look", b"y", 2.0, LookupResult.NEW),
         ],
-        [("look", b"x", 1.0, Found.NEW), ("drop", b"x", 2.0, None), ("look", b"y", 2.0, Found.NEW)],
     ],
 )
 def test_identities_are_known_while_out_and_for_a_while(steps: list[tuple[str, bytes, float, Any]]) -> None:
-    table = Identities(4, 10.0)
+    table = IdempotencyTable(4, 10.0)
     for what, body, now, wanted in steps:
         if what == "end":
             table.known[0, "k"][2].aborted("over")
-            table.end(0, "k", now)
+            table.mark_ended(0, "k", now)
         elif what == "drop":
-            table.drop(0, "k")
+            table.remove(0, "k")
         else:
-            found, _ = table.look(0, "k", body, now)
+            found, _ = table.look_up(0, "k", body, now)
             assert found is wanted
-            if found is Found.NEW:
-                table.begin(0, "k", body, Effect.NON_IDEMPOTENT, Shared())
+            if found is LookupResult.NEW:
+                table.add(0, "k", body, Effect.NON_IDEMPOTENT, SharedRequest())
 
 
 def test_what_must_not_run_twice_is_forgotten_last_and_what_is_out_never() -> None:
-    table = Identities(4, 10.0)
+    table = IdempotencyTable(4, 10.0)
 
-    def begin(key: str, effect: Effect, ended: bool) -> Found:
-        found, _ = table.look(0, key, b"", 1.0)
-        if found is Found.NEW:
-            table.begin(0, key, b"", effect, Shared())
+    def begin(key: str, effect: Effect, ended: bool) -> LookupResult:
+        found, _ = table.look_up(0, key, b"", 1.0)
+        if found is LookupResult.NEW:
+            table.add(0, key, b"", effect, SharedRequest())
             if ended:
-                table.end(0, key, 1.0)
+                table.mark_ended(0, key, 1.0)
         return found
 
     begin("once", Effect.NON_IDEMPOTENT, True)
@@ -221,7 +225,7 @@
     assert (0, "marked") not in table.known and (0, "once") in table.known
     begin("c", Effect.IDEMPOTENT, False)
     assert (0, "once") not in table.known
-    assert begin("d", Effect.IDEMPOTENT, False) is Found.NO_ROOM and len(table.known) == 4
+    assert begin("d", Effect.IDEMPOTENT, False) is LookupResult.TABLE_FULL and len(table.known) == 4
 
 
 settings.register_profile("same", derandomize=True, deadline=None, max_examples=60)
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -6,7 +6,7 @@
 
 from heathford.discovery.client import DiscoveryClient
 from heathford.discovery.follower import ListChange
-from heathford.fleet.instances import Instances
+from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Role
 from heathford.standin.platform import Agent, ScriptedEngine
 from heathford.wire.requests import Request
@@ -29,7 +29,7 @@
 
 async def followed(agent: SlowAgent, changes: list[ListChange]) -> DiscoveryClient:
     host, _, port = (await agent.open()).rpartition(":")
-    client = DiscoveryClient(host, int(port), Instances({"m0": (0, Role.PREFILL)}, ["a"]), changes.append)
+    client = DiscoveryClient(host, int(port), EndpointList({"m0": (0, Role.PREFILL)}, ["a"]), changes.append)
     client.start()
     return client
 
@@ -47,7 +47,7 @@
         agent.delay = delay
         changes: list[ListChange] = []
         client = await followed(agent, changes)
-        assert await client.first(WITHIN)
+        assert await client.wait_for_first_list(WITHIN)
         assert len(changes) == 1 and changes[0].complete
         client.stop()
         agent.close()
@@ -66,7 +66,7 @@
         client = await followed(agent, changes)
         await asyncio.sleep(1.0)
         agent.delay, agent.silent = delay, False
-        assert await client.first(within)
+        assert await client.wait_for_first_list(within)
         assert len(client.protocols) == 1
         client.stop()
         assert not client.protocols
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -317,7 +317,7 @@
     async def day(play: FrontSetup) -> None:
         reader, writer = play.engines
         heard = RecordingReleaseEvents(), RecordingReleaseEvents()
-        holder = play.node.instances.listed(0)[0][0]
+        holder = play.node.instances.serving_endpoints(0)[0][0]
         began = time.monotonic()
         for one in heard:
             play.node.link.release(holder, "c0", one)
@@ -339,7 +339,7 @@
         pools.open = int(pools.max_connections - pools.reserved)
         assert pools.reserved >= 1 and not pools.reserve(pools.pool("127.0.0.1", 1))
         heard = RecordingReleaseEvents()
-        play.node.link.release(play.node.instances.listed(0)[0][0], "c0", heard)
+        play.node.link.release(play.node.instances.serving_endpoints(0)[0][0], "c0", heard)
         (await reader.wait_for_request(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert [line.partition(" ")[0] for line in heard.events] == ["asked", "confirmed"]
@@ -393,7 +393,7 @@
     async def day(play: FrontSetup) -> None:
         reader = play.engines[0]
         heard = RecordingReleaseEvents()
-        play.node.link.release(play.node.instances.listed(0)[0][0], "c0", heard)
+        play.node.link.release(play.node.instances.serving_endpoints(0)[0][0], "c0", heard)
         await until(lambda: "failed" in heard.events, "the end of the first")
         asked = reader.deletes
         await until(lambda: reader.deletes > asked, "another")
@@ -421,7 +421,7 @@
         running = play.engines[-1]
         heard = RecordingReleaseEvents()
         began = time.monotonic()
-        play.node.link.release(play.node.instances.listed(0)[0][0], "c0", heard)
+        play.node.link.release(play.node.instances.serving_endpoints(0)[0][0], "c0", heard)
         (await running.wait_for_request(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not play.node.link.releases, "the end of the release")
         assert time.monotonic() - began < ALLOWANCE - STALL_ALLOWANCE + 0.1
@@ -443,7 +443,7 @@
         await play.answer(play.client(), "c0")
         await play.wait_until_reusable()
         play.publish_entries(*others)
-        listed = play.node.instances.listed
+        listed = play.node.instances.serving_endpoints
         await until(lambda: len(listed(0)[0]) == 7, "the others on the list")
         heard = RecordingReleaseEvents()
         play.node.link.release(next(e for e in listed(0)[0] if e.name == "r"), "c1", heard)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -18,7 +18,7 @@
 from heathford.interface import Role, Outcome
 from heathford.script.script import read_script
 from heathford.standin.server import Exchange, Server
-from heathford.tls.files import Keys, key_mistakes
+from heathford.tls.files import KeyFiles, find_key_errors
 from heathford.tls.keys import REMIND, WARN, Pem, Purpose, Step, Turnover, faults
 from heathford.standin.authority import DAY, NOW, Authority, put
 
@@ -101,7 +101,7 @@
     local = (Path(__file__).parent.parent / "deploy" / "local.star").read_text()
     path = tmp_path / "script.star"
     path.write_text(f"# keys\n{line}\n{local}")
-    found = "\n".join(map(str, key_mistakes(read_script(path))))
+    found = "\n".join(map(str, find_key_errors(read_script(path))))
     assert (wrong in found) if wrong else not found
 
 
@@ -116,8 +116,8 @@
 
     def __init__(self, folder: Path, **more: Any) -> None:
         self.folder = folder
-        self.keys = Keys(folder, Purpose.SERVER, *put(folder, GOOD), **more)
-        assert self.keys.look() is Step.TAKE
+        self.keys = KeyFiles(folder, Purpose.SERVER, *put(folder, GOOD), **more)
+        assert self.keys.reload() is Step.TAKE
         self.served = Served(tls=self.keys.context, most=1000, most_held=10**8)
         self.served.link.pace = 0.1
         self.keys.changed = lambda context: setattr(self.served.server, "ssl_options", context)
@@ -159,9 +159,9 @@
             await session.send(ask)
             assert "method" in json.loads(await session.recv())  # it streams
         put(tmp_path, (GOOD[0], SECOND[1]))
-        assert front.keys.look() is Step.REFUSE and (await front.serial())[0] == before
+        assert front.keys.reload() is Step.REFUSE and (await front.serial())[0] == before
         put(tmp_path, SECOND)
-        assert front.keys.look() is Step.TAKE
+        assert front.keys.reload() is Step.TAKE
         after, _ = await front.serial()
         assert after != before
         assert front.served.core.tally.finished < 200
@@ -259,13 +259,13 @@
             asked.append(exchange.path)
             exchange.whole(200, {"kv_transfer_params": {"x": 1}, "usage": {}})
 
-        serving = Keys(tmp_path, Purpose.SERVER, *put(tmp_path, CA.issue(names=("engine-1",))))
-        serving.look()
+        serving = KeyFiles(tmp_path, Purpose.SERVER, *put(tmp_path, CA.issue(names=("engine-1",))))
+        serving.reload()
         server = Server(answer, serving.context)
         server.open("127.0.0.1")
         (tmp_path / "ca.pem").write_bytes(trusted.pem)
-        asking = Keys(tmp_path, Purpose.CLIENT, authority="ca.pem")
-        assert asking.look() is Step.TAKE
+        asking = KeyFiles(tmp_path, Purpose.CLIENT, authority="ca.pem")
+        assert asking.reload() is Step.TAKE
         link = EngineLink(1.0, 10, 10.0, 1.0, 65_536, 0.3, tls=asking.context)
         heard = Heard()
         link.send(Endpoint(1, name, Role.PREFILL, "127.0.0.1", server.port), "d.0", {}, None, "", 2.0, heard)
