--- a/heathford/core/__init__.py
+++ b/heathford/core/__init__.py
@@ -1,1 +1,1 @@
-"""Carries one Router: gathers events, plays them with the clock frozen, does what is decided."""
+"""Runs one router: applies events in turns of the event loop and carries out the router's decisions."""
--- a/heathford/core/accepted_request.py
+++ b/heathford/core/accepted_request.py
@@ -1,4 +1,4 @@
-"""One request that a front handed over, until its one final answer and the end of its last attempt."""
+"""One accepted request, until its one final answer and the end of its last attempt."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
@@ -7,7 +7,7 @@
 
 from heathford.core.engine_attempt import EngineAttempt
 from heathford.core.protocols import Cancellable, ResponseWriter
-from heathford.core.gate import Event, Reason, RequestLife
+from heathford.core.gate import Event, Reason, RequestLifecycle
 from heathford.core.held_state import ReleaseReason
 from heathford.core.prefill_state import PrefillState
 from heathford.interface import Outcome, Workload
@@ -20,174 +20,227 @@
 
 
 class AcceptedRequest:
-    """A completion that a front handed over, until its final answer and the end of its last dispatch."""
+    """A request that the front node has accepted, with its attempts and its held prefill state.
+
+    attempts_share_name: all attempts carry the request's own name, as the client protocol gave it; otherwise
+    each has a name of its own. answer_deadline: s on the loop's clock by which the router gives the final
+    answer. over: the final answer has been given, or the client has disconnected. abandoned: its routing
+    decision raised, so the router is asked for nothing more. handle: the router's own object for the request,
+    None until the turn in which the router gets it.
+    """
 
     def __init__(
         self,
         core: "Core",
-        sink: ResponseWriter,
+        response_writer: ResponseWriter,
         name: str,
-        one_name: bool,
+        attempts_share_name: bool,
         body: Any,
-        mark: str,
-        due: float,
+        idempotency_key: str,
+        answer_deadline: float,
         workload: Workload,
     ) -> None:
-        self.core, self.response_writer, self.name, self.body, self.mark = core, sink, name, body, mark
-        self.life = RequestLife(name, workload)
+        self.core, self.response_writer, self.name, self.body, self.idempotency_key = (
+            core,
+            response_writer,
+            name,
+            body,
+            idempotency_key,
+        )
+        self.lifecycle = RequestLifecycle(name, workload)
         core.history.add(name, "taken")
-        self.due = due
-        self.one_name: bool = one_name  # one_name: its dispatches are all called as itself
+        self.answer_deadline = answer_deadline
+        self.attempts_share_name: bool = attempts_share_name
         self.handle: RequestState | None = None
         self.attempts: list[EngineAttempt] = []
         self.in_flight: EngineAttempt | None = None
         self.prefill: PrefillState = PrefillState()
-        self.over: bool = False  # final answer given, or the client has gone
-        self.abandoned: bool = False  # its decision failed: nothing more is asked of its handle
-        self.timer: Cancellable | None = core.loop.call_at(due + core.answer_margin / 2, self.abort_overdue)
+        self.over: bool = False
+        self.abandoned: bool = False
+        self.timer: Cancellable | None = core.loop.call_at(
+            answer_deadline + core.answer_margin / 2, self.abort_overdue
+        )
 
-    # What the Router asks for: heathford.interface.RequestActions.
+    # Called by the router: heathford.interface.RequestActions.
 
     def send(self, engine: int, timeout: float) -> None:
         core = self.core
-        dispatch = EngineAttempt(self, len(self.attempts), core.endpoints[engine], core.loop.time())
-        self.attempts.append(dispatch)
-        self.in_flight = dispatch
-        core.gate.step(self.life, Event.HANDED_OVER)
-        dispatch.record("handed over")
-        kv = None if dispatch.is_prefill else self.prefill.transfer
+        attempt = EngineAttempt(self, len(self.attempts), core.endpoints[engine], core.loop.time())
+        self.attempts.append(attempt)
+        self.in_flight = attempt
+        core.gate.transition(self.lifecycle, Event.HANDED_OVER)
+        attempt.record("handed over")
+        kv_transfer_params = None if attempt.is_prefill else self.prefill.transfer
         try:
-            dispatch.call = core.link.send(
-                dispatch.endpoint, dispatch.name, self.body, kv, self.mark, timeout, dispatch
+            attempt.call = core.link.send(
+                attempt.endpoint,
+                attempt.name,
+                self.body,
+                kv_transfer_params,
+                self.idempotency_key,
+                timeout,
+                attempt,
             )
         except Exception as problem:
-            # Guards against an attempt that never began and counts as out for good. Harms nothing: the link
-            # tells of nothing before it has returned.
-            core.fault(problem, None)
-            dispatch.ended(Outcome.UNSENT, 0, {}, {})
+            # Otherwise an attempt that never began would count as in flight forever. Safe, because the link
+            # reports no event before `send` has returned.
+            core.record_fault(problem, None)
+            attempt.ended(Outcome.UNSENT, 0, {}, {})
             return
-        if self.prefill.waits and not dispatch.is_prefill:
-            due = max(self.prefill.read_at + core.hold, dispatch.sent + (core.pin_limit - core.hold) / 2)
-            dispatch.arrival = core.loop.call_at(due, dispatch.look_for_arrival)
+        if self.prefill.is_waiting and not attempt.is_prefill:
+            check_at = max(
+                self.prefill.prefilled_at + core.decode_wait_limit,
+                attempt.handed_over_at + (core.pin_limit - core.decode_wait_limit) / 2,
+            )
+            attempt.arrival_check = core.loop.call_at(check_at, attempt.check_arrival)
 
     def cancel(self, seq: int) -> None:
         if seq < len(self.attempts):
-            self.stop(self.attempts[seq])
+            self.cancel_attempt(self.attempts[seq])
 
     def rate_limit(self, retry_after: float) -> None:
-        if not self.over and self.core.gate.may_answer_refused(self.life) is not Reason.ALLOWED:
+        """Answer that a retry after that many s does no harm; abort where an attempt may have run."""
+        if not self.over and self.core.gate.may_answer_rate_limited(self.lifecycle) is not Reason.ALLOWED:
             self.abort("it may have run")
         elif self.close("rate_limited", self.give_up_reason):
-            self.core.guarded(self.response_writer, lambda: self.response_writer.rate_limited(retry_after))
+            self.core.call_response_writer(
+                self.response_writer, lambda: self.response_writer.rate_limited(retry_after)
+            )
 
     @property
     def give_up_reason(self) -> str:
-        """Why the Router has given it up."""
-        why = self.handle.give_up_reason if self.handle else None
-        return why.value if why else ""
+        """Why the router gave the request up, or empty."""
+        reason = self.handle.give_up_reason if self.handle else None
+        return reason.value if reason else ""
 
     def abort(self, why: str = "given up") -> None:
         if self.close("aborted", why):
-            self.core.guarded(self.response_writer, lambda: self.response_writer.aborted(why))
+            self.core.call_response_writer(self.response_writer, lambda: self.response_writer.aborted(why))
 
     def release(self, reason: ReleaseReason = ReleaseReason.POLICY) -> None:
-        """Also once more for what an attempt may have kept at the first release."""
-        holder = self.prefill.to_release()
+        """Release the held prefill state.
+
+        Called again after a first release, because a decode attempt in flight then may have kept the state.
+        """
+        holder = self.prefill.start_release()
         if holder:
             self.release_from(holder, reason)
             if self.in_flight:
-                self.in_flight.look_for_life()
+                self.in_flight.check_engine_liveness()
 
-    # What the front says.
+    # Called by front ends.
 
     def client_left(self) -> None:
-        """The client has gone: nothing more is owed. A stream that nobody reads ends."""
+        """Drop the request of a client that has disconnected; no final answer is given any more.
+
+        A stream that nobody reads is cancelled.
+        """
         if not self.close("left"):
             return
         if self.in_flight and self.in_flight.streaming:
-            self.stop(self.in_flight)
+            self.cancel_attempt(self.in_flight)
         elif self.in_flight and self.in_flight.call:
-            # Guards against a dispatch that begins once its client has gone: it may still wait for its
-            # connection, or for a release. Also where running ones may not be cancelled. Harms nothing.
+            # Keeps an attempt that still waits for a connection or a release from being sent after its client
+            # has gone. Done even where running attempts may not be cancelled.
             self.in_flight.call.withdraw()
-        self.core.tell(self, lambda handle: handle.client_left())
+        self.core.notify_router(self, lambda handle: handle.client_left())
 
-    # What the core owns.
+    # Used by attempts and by the core.
 
     def finish(self, reason: str, usage: Mapping[str, Any]) -> None:
         if self.close("finished"):
-            self.core.guarded(self.response_writer, lambda: self.response_writer.finished(reason, usage))
-
-    def release_from(self, dispatch: EngineAttempt, reason: ReleaseReason) -> None:
-        """Now, before the next dispatch: one that can't connect, or whose bytes reach nobody, stops no clock,
-        and several in a row outlast the pin limit. Where all have one name the link holds what is sent next
-        until the release is through, so that it takes no later state. Costs that dispatch a round trip."""
-        dispatch.record("release", reason.value)
-        self.prefill.held = held = dispatch.hold_state()
-        held.release_begins()
-        self.core.link.release(dispatch.endpoint, dispatch.name, held)
-
-    def prefill_ended_unclear(self, dispatch: EngineAttempt) -> None:
-        """Guards against a read that ends unseen: its state may wait at the reader though we were never told
-        of it, and only its name lets it go. Harms nothing where there is none."""
-        self.prefill.unclear = dispatch
-        self.release_from(dispatch, ReleaseReason.PREFILL_UNCLEAR)
+            self.core.call_response_writer(
+                self.response_writer, lambda: self.response_writer.finished(reason, usage)
+            )
+
+    def release_from(self, attempt: EngineAttempt, reason: ReleaseReason) -> None:
+        """Release what a prefill attempt left, at once rather than after the next attempt.
+
+        Attempts that can't connect or don't arrive don't extend the time for which the state may be held, and
+        several in a row outlast the pin limit. Where attempts share a name, the link delays the next attempt
+        until the release is done, so that the release can't hit a later state. This costs that attempt a
+        round trip.
+        """
+        attempt.record("release", reason.value)
+        self.prefill.held = held = attempt.hold_state()
+        held.release_started()
+        self.core.link.release(attempt.endpoint, attempt.name, held)
+
+    def release_unclear_prefill(self, attempt: EngineAttempt) -> None:
+        """Release by name what a prefill attempt with an unknown result may have left.
+
+        Its engine may hold a state of which this process was never notified. The release is harmless where
+        there is none.
+        """
+        self.prefill.unclear_attempt = attempt
+        self.release_from(attempt, ReleaseReason.PREFILL_UNCLEAR)
 
     def release_late_prefill(self) -> None:
-        """Guards against what such a read leaves after that release, while the request went on elsewhere:
-        until a later attempt has what it needs, or the request is over, a release could take that from it.
-        Costs a release where a further attempt followed."""
-        if not self.prefill.unclear:
+        """Release once more what a prefill attempt with an unknown result may have left since.
+
+        Its engine may end the prefill after the first release, while the request went on elsewhere. Called
+        only once a later attempt streams or the request is over: earlier, a release by the shared name could
+        take the state that the later attempt needs. Costs one release where a further attempt followed.
+        """
+        if not self.prefill.unclear_attempt:
             return
-        dispatch = self.prefill.unclear_before(self.attempts[-1])
-        if dispatch and self.one_name:
-            self.release_from(dispatch, ReleaseReason.PREFILL_LATE)
+        attempt = self.prefill.take_unclear_before(self.attempts[-1])
+        if attempt and self.attempts_share_name:
+            self.release_from(attempt, ReleaseReason.PREFILL_LATE)
 
     def close(self, how: str, why: str = "") -> bool:
-        """True for the first call only: a completion gets one final answer."""
+        """Mark the request as over and count it; return False if it was over before.
+
+        how: the attribute of `Tally` to count it under. why: a reason for the history.
+        """
         if self.over:
             return False
         self.over = True
-        self.core.gate.step(self.life, Event.LEFT if how == "left" else Event.ANSWERED)
+        self.core.gate.transition(self.lifecycle, Event.LEFT if how == "left" else Event.ANSWERED)
         self.core.history.add(self.name, how, why)
         if self.timer:
             self.timer.cancel()
             self.timer = None
         tally = self.core.tally
         setattr(tally, how, getattr(tally, how) + 1)
-        self.core.check_gone(self)
+        self.core.check_removable(self)
         return True
 
-    def stop(self, dispatch: EngineAttempt) -> None:
-        if dispatch.call and not dispatch.over:
-            dispatch.call.cancel()
+    def cancel_attempt(self, attempt: EngineAttempt) -> None:
+        if attempt.call and not attempt.over:
+            attempt.call.cancel()
 
     def abort_overdue(self) -> None:
-        """Guards against a completion that the Router lets run out of time, as after a fault of its own: the
-        client still gets its answer. Could harm if it came before the Router's own, so it waits past that."""
+        """Abort a request that the router let run past its deadline, for instance after an exception.
+
+        The client still gets its answer. The timer fires half the answer margin after the router's own
+        deadline, so that it doesn't preempt the router's answer.
+        """
         self.core.tally.late += 1
         log.error("overdue", completion=self.name, out=self.in_flight.name if self.in_flight else None)
         self.abort("out of time")
         if self.in_flight:
-            self.stop(self.in_flight)  # and the Router hears how it ended: else it counts it as out for good
+            # Also notifies the router, which would otherwise count the attempt as in flight forever.
+            self.cancel_attempt(self.in_flight)
         else:
-            self.core.tell(self, lambda handle: handle.client_left())
+            self.core.notify_router(self, lambda handle: handle.client_left())
 
-    def stream_too_long(self) -> None:
+    def abort_long_stream(self) -> None:
         self.abort("the stream ran past its limit")
         if self.in_flight:
-            self.stop(self.in_flight)
+            self.cancel_attempt(self.in_flight)
 
     def abandon(self, why: str) -> None:
-        """The Router is asked no more about it; all that is out or held for it is released."""
+        """Abort the request without the router: cancel its attempt and release its prefill state."""
         self.abandoned = True
         self.abort(why)
         if self.in_flight:
-            self.stop(self.in_flight)
+            self.cancel_attempt(self.in_flight)
         self.release(ReleaseReason.DECISION_FAILED)
 
     @property
-    def gone(self) -> bool:
+    def is_removable(self) -> bool:
+        """Whether nothing more can happen to the request, so that the core may forget it."""
         return (
             self.over
             and self.in_flight is None
--- a/heathford/core/core.py
+++ b/heathford/core/core.py
@@ -1,8 +1,9 @@
-"""One Router, carried: events are gathered over a turn of the loop and played together.
+"""Runs one router: events of one turn of the event loop are collected and applied together.
 
-The core knows no client protocol and no wire. A front hands it a completion with a sink; a link tells it of
-dispatches; a list tells it of engines. What the Router can't see is owned here: one final answer whatever
-happens, the life of a stream after its first token, and what is left of a completion whose decision failed.
+The core knows no client protocol and no wire format. A front end hands it requests, each with a response
+writer; a link reports on attempts; discovery or the registry reports the endpoint list. The core owns what
+the router can't see: that each request gets exactly one final answer, a stream after its first token, and the
+cleanup of a request whose routing decision raised an exception.
 """
 
 from collections.abc import Callable, Sequence
@@ -21,31 +22,37 @@
 from heathford.interface import RoutedRequest, Health, EngineKind, Workload
 from heathford.policy import Router
 
-FAULTS = 64  # faults in one decision after which it is left to the next turn: more is a loop, not a fault
+MAX_DECISION_FAULTS = 64  # per turn: more is taken for an endless loop and left to the next turn
 
-DECIDE_AGAIN = 0.05  # s until the next look at what waits after a fault that no request explains
+DECISION_RETRY_DELAY = 0.05  # s until the next decision after an exception that no single request caused
 
 log = structlog.get_logger()
 
 
 class TurnClock:
+    """The router's clock: stands still during a turn. `now` is in s on the loop's clock."""
+
     now = 0.0
 
 
 class Tally:
-    """Counts for this front's life. Taken equals the four others and what is open, at any time."""
+    """Request counts since the process started.
+
+    At any time, `taken` (accepted) equals `finished` + `rate_limited` + `aborted` + `left` (the client
+    disconnected) + the number of open requests.
+    """
 
     def __init__(self) -> None:
         self.taken = self.finished = self.rate_limited = self.aborted = self.left = 0
-        self.faults = self.late = 0  # decisions that raised; completions that the Router let run out of time
+        self.faults = self.late = 0  # decisions that raised; requests the router let run past their deadline
 
 
 class Core:
-    """One instance. Engines are told by its list_* methods, as the Router's own.
+    """The requests, attempts and router of one front node.
 
-    name: of this instance, never used by another or by an earlier start: dispatches are called by it, and an
-    engine may remember them. answer_margin: s before the client timeout by which the final answer is given;
-    stream_limit: s that an answer may stream. `fronts` and `number` as in the Router.
+    name: unique among front nodes and across restarts, because attempts are named after it and engines may
+    remember their names. answer_margin: s before the client's deadline by which the final answer is given.
+    stream_limit: s that an answer may stream. The other parameters are those of `Router`.
     """
 
     def __init__(
@@ -79,18 +86,17 @@
         self.clock.now = loop.time()
         self.tally = Tally()
         self.history = History(loop.time)
-        self.gate = Gate(self.violated, keyed_repeats=not link.may_read_late)
+        self.gate = Gate(self.report_violation, keyed_repeats=not link.may_read_late)
         self.held_statistics = HeldStatistics()
         self.endpoints: dict[int, Endpoint] = {}
         self.live: dict[AcceptedRequest, None] = {}
-        self.touched: dict[AcceptedRequest, None] = {}  # this turn
+        self.removal_candidates: dict[AcceptedRequest, None] = {}  # checked at the end of this turn
         self.events: list[tuple[AcceptedRequest | None, Callable[[], None]]] = []
-        self.turn_due = False
-        self.count = 0
-        self.idle_callbacks: list[Callable[[], None]] = []  # called once nothing is live
-        self.on_endpoint_list_failure: Callable[[], None] = (
-            lambda: None
-        )  # a change of the list has failed: ask anew
+        self.turn_scheduled = False
+        self.request_number = 0
+        self.idle_callbacks: list[Callable[[], None]] = []  # called once, when no request is live
+        # Called when an update could not be applied: the whole list should be requested again.
+        self.on_endpoint_list_failure: Callable[[], None] = lambda: None
         self.pin_limit = pin_limit
         self.router = Router(
             self.clock,
@@ -115,26 +121,27 @@
             keyed_repeats=not link.may_read_late,
             transfers=link.transfers,
         )
-        self.hold = self.router.decode_wait_limit  # s for which a state may wait for an attempt that arrives
+        # s that held prefill state may wait for a decode attempt to arrive at its engine.
+        self.decode_wait_limit = self.router.decode_wait_limit
 
-    # What the Router asks for: heathford.interface.RouterActions.
+    # Called by the router: heathford.interface.RouterActions.
 
     def wake(self, after: float) -> None:
-        self.loop.call_at(self.loop.time() + after, self.turn_soon)
+        self.loop.call_at(self.loop.time() + after, self.schedule_turn)
 
     def subscribe(self) -> None:
-        """The list comes by itself here."""
+        """Do nothing: the endpoint list is watched all the time."""
 
     def trace(self, text: str) -> None:
         log.info("trace", text=text)
 
-    # What the gate asks and says.
+    # Used by the gate and by attempts.
 
     def target(self, number: int) -> Target:
-        """An engine as the list says now; one that it no longer names is gone."""
+        """Return the engine's present entry in the endpoint list, or a removed engine if it has none."""
         return self.router.engines.get(number) or NOT_LISTED
 
-    def violated(self, rule: Rule, name: str, what: str) -> None:
+    def report_violation(self, rule: Rule, name: str, what: str) -> None:
         log.error(
             "rule violated",
             rule=rule.name,
@@ -143,11 +150,11 @@
             history=[astuple(record) for record in self.history.of(name)],
         )
 
-    # What fronts and the list say.
+    # Called by front ends and by whatever follows the endpoint list.
 
     def accept(
         self,
-        sink: ResponseWriter,
+        response_writer: ResponseWriter,
         workload: int,
         member: int,
         session: str,
@@ -163,32 +170,37 @@
         answer_hint: float = 0.0,
         size: int = 0,
     ) -> AcceptedRequest:
-        """Takes a completion: lengths in tokens, timeout in s from `received` (else now) after which the
-        client gives up. The final answer comes before that, by the sink. name: by which its client and all
-        engines know it, where the protocol has one; answer_hint: s that the answer should take, 0 unknown;
-        size: bytes that are sent to an engine, where the link tells of slow sends."""
-        self.count += 1
+        """Accept a request; its final answer goes to the response writer before the client's deadline.
+
+        timeout: s from `received` (s on the loop's clock; now if None) until the client gives up.
+        member: number of the tenant. session, shared: identities of the session and of the shared prompt
+        prefix. prompt, shared_tokens, longest: tokens of the prompt, of the shared prefix and at most of the
+        answer. mark: idempotency key, or empty. name: the request's name towards client and engines, where
+        the client protocol has one. answer_hint: expected s of the answer, 0 if unknown. size: bytes sent to
+        an engine, used where the link reports slow sends.
+        """
+        self.request_number += 1
         self.tally.taken += 1
         since = self.loop.time() if received is None else received
-        due = since + timeout - self.answer_margin
-        taken = AcceptedRequest(
+        answer_deadline = since + timeout - self.answer_margin
+        request = AcceptedRequest(
             self,
-            sink,
-            name or f"cmpl-{self.name}-{self.count}",
+            response_writer,
+            name or f"cmpl-{self.name}-{self.request_number}",
             bool(name),
             body,
             mark,
-            due,
+            answer_deadline,
             self.workloads[workload],
         )
-        self.live[taken] = None
+        self.live[request] = None
 
-        def begin() -> None:
-            if taken.over:
-                taken.abandoned = True
+        def route() -> None:
+            if request.over:
+                request.abandoned = True
                 return
-            taken.handle = self.router.accept(
-                taken,
+            request.handle = self.router.accept(
+                request,
                 workload,
                 member,
                 session,
@@ -197,107 +209,119 @@
                 shared_tokens,
                 longest,
                 answer_hint,
-                due,
+                answer_deadline,
                 size,
             )
 
-        self.happened(taken, begin)
-        return taken
+        self.enqueue_event(request, route)
+        return request
 
     def apply_endpoint_list(
-        self, complete: bool, rows: Sequence[tuple[Endpoint, int, int, int, Health, float, float]]
+        self, complete: bool, entries: Sequence[tuple[Endpoint, int, int, int, Health, float, float]]
     ) -> None:
-        """Rows: endpoint, zone, kind, cell, health, size, started (s on the loop's clock, 0 if long ago)."""
+        """Apply a snapshot (complete) or a change of the endpoint list.
 
-        def play() -> None:
+        Each entry: endpoint, zone, kind, cell, health, size, started (s on the loop's clock, 0 if long ago).
+        """
+
+        def apply() -> None:
             self.router.begin_list_update(complete)
-            for endpoint, zone, kind, cell, health, size, started in rows:
+            for endpoint, zone, kind, cell, health, size, started in entries:
                 try:
                     self.endpoints[endpoint.number] = endpoint
                     self.router.update_engine(endpoint.number, zone, kind, cell, health, size, started)
                 except Exception as problem:
-                    # Guards against one entry that leaves all after it untold, drains among them. Could harm
-                    # by a drain in that entry which is not acted on.
-                    self.fault(problem, None)
+                    # One bad entry must not keep the entries after it, drains among them, from the router.
+                    # A drain in the bad entry itself is lost.
+                    self.record_fault(problem, None)
             try:
                 self.router.end_list_update()
             except Exception as problem:
-                self.fault(problem, None)
+                self.record_fault(problem, None)
                 self.on_endpoint_list_failure()
             if len(self.endpoints) > len(self.router.engines):
-                # Engines come and go under ever new names: only those that the Router still holds are kept.
+                # Engines come and go under ever new names: drop those that the router has forgotten.
                 self.endpoints = {n: e for n, e in self.endpoints.items() if n in self.router.engines}
 
-        self.happened(None, play)
+        self.enqueue_event(None, apply)
+
+    # Turns of the event loop.
 
-    # Turns.
+    def enqueue_event(self, request: AcceptedRequest | None, apply: Callable[[], None]) -> None:
+        self.events.append((request, apply))
+        self.schedule_turn()
 
-    def happened(self, taken: AcceptedRequest | None, play: Callable[[], None]) -> None:
-        self.events.append((taken, play))
-        self.turn_soon()
+    def notify_router(self, request: AcceptedRequest, notify: Callable[[RoutedRequest], None]) -> None:
+        def apply() -> None:
+            # Abandoned requests too: otherwise the router would count their attempts as in flight forever.
+            if request.handle:
+                notify(request.handle)
 
-    def tell(self, taken: AcceptedRequest, say: Callable[[RoutedRequest], None]) -> None:
-        def play() -> None:
-            # Also for what was abandoned: else what ends for it now would count as out for good.
-            if taken.handle:
-                say(taken.handle)
+        self.enqueue_event(request, apply)
 
-        self.happened(taken, play)
+    def check_removable(self, request: AcceptedRequest) -> None:
+        """Check at the end of this turn whether the request can be dropped.
 
-    def check_gone(self, taken: AcceptedRequest) -> None:
-        """Something ended for it: the end of this turn sees whether it still lives. Given up while deciding,
-        a completion has no event of its own in that turn, and would stay for good."""
-        self.touched[taken] = None
-        self.turn_soon()
+        Called whenever something of it ends. A request that is given up during the decision has no event of
+        its own in that turn and would otherwise never be removed.
+        """
+        self.removal_candidates[request] = None
+        self.schedule_turn()
 
-    def turn_soon(self) -> None:
-        if not self.turn_due:
-            self.turn_due = True
+    def schedule_turn(self) -> None:
+        if not self.turn_scheduled:
+            self.turn_scheduled = True
             self.loop.call_soon(self.turn)
 
     def turn(self) -> None:
-        self.turn_due = False
+        self.turn_scheduled = False
         self.clock.now = self.loop.time()
         events, self.events = self.events, []
-        for taken, play in events:
-            if taken:
-                self.check_gone(taken)
+        for request, apply in events:
+            if request:
+                self.check_removable(request)
             try:
-                play()
+                apply()
             except Exception as problem:
-                self.fault(problem, taken)
+                self.record_fault(problem, request)
         self.decide()
-        touched, self.touched = self.touched, {}
-        for taken in touched:
-            if taken.gone:
-                taken.release_late_prefill()
-                self.live.pop(taken, None)
+        candidates, self.removal_candidates = self.removal_candidates, {}
+        for request in candidates:
+            if request.is_removable:
+                request.release_late_prefill()
+                self.live.pop(request, None)
         if not self.live and self.idle_callbacks:
             calls, self.idle_callbacks = self.idle_callbacks, []
             for call in calls:
                 call()
 
     def decide(self) -> None:
-        """Guards against one completion whose decision raises: it is aborted, the others are decided. The
-        Router has then lost those it had not reached, so all that wait are handed to it again."""
-        for _ in range(FAULTS):
+        """Run the router's decision; abort the request that made it raise and decide the others.
+
+        After an exception the router has lost the requests that it had not reached yet, so its waiting list
+        is rebuilt from the live requests.
+        """
+        for _ in range(MAX_DECISION_FAULTS):
             try:
                 self.router.decide()
                 return
             except Exception as problem:
                 culprit = self.culprit(problem)
-                self.fault(problem, culprit)
+                self.record_fault(problem, culprit)
                 self.router.waiting = [
                     t.handle
                     for t in self.live
                     if t.handle and not t.over and t.in_flight is None and not t.abandoned
                 ]
                 if culprit is None:
-                    self.wake(DECIDE_AGAIN)
+                    self.wake(DECISION_RETRY_DELAY)
                     return
 
     def culprit(self, problem: BaseException) -> AcceptedRequest | None:
-        """The completion whose handle is in hand in the innermost frame that has one."""
+        """Return the request that the innermost stack frame with a routed request was working on.
+
+        Found by the router's local variable names, `request` and `self`.
+        """
         handles = {id(t.handle): t for t in self.live if t.handle and not t.abandoned}
         found = None
         for frame, _ in walk_tb(problem.__traceback__):
@@ -305,33 +329,35 @@
                 found = handles.get(id(frame.f_locals.get(name)), found)
         return found
 
-    def fault(self, problem: Exception, taken: AcceptedRequest | None) -> None:
+    def record_fault(self, problem: Exception, request: AcceptedRequest | None) -> None:
         self.tally.faults += 1
-        log.error("decision failed", completion=taken.name if taken else None, exc_info=problem)
-        if taken:
-            taken.abandon("its decision failed")
-            self.happened(taken, lambda: None)
-
-    def guarded(self, sink: ResponseWriter, call: Callable[[], None]) -> None:
-        """Guards against a sink that raises: its client is told that its request failed, nobody else hears of
-        it. Could harm a client to which part of another answer has gone out; its sink knows."""
+        log.error("decision failed", completion=request.name if request else None, exc_info=problem)
+        if request:
+            request.abandon("its decision failed")
+            self.enqueue_event(request, lambda: None)
+
+    def call_response_writer(self, response_writer: ResponseWriter, call: Callable[[], None]) -> None:
+        """Call the response writer; if it raises, abort that one request.
+
+        Part of another answer may have gone out already; the response writer has to take care of that.
+        """
         try:
             call()
         except Exception as problem:
-            log.error("sink failed", exc_info=problem)
+            log.error("response writer failed", exc_info=problem)
             try:
-                sink.aborted("its answer could not be written")
+                response_writer.aborted("its answer could not be written")
             except Exception as second:
-                log.error("sink failed", exc_info=second)
+                log.error("response writer failed to abort the request", exc_info=second)
 
     @property
     def open_count(self) -> int:
         return sum(not t.over for t in self.live)
 
     def held_state_summary(self) -> dict[str, float]:
-        """For the state line: states that are held, and how those that were have ended."""
+        """Return the figures on held prefill states for the periodic state log line."""
         now = self.loop.time()
         open_states = [t.prefill.held for t in self.live if t.prefill.held]
-        return self.held_statistics.told(
-            max((now - held.begun_at for held in open_states if held.open), default=0.0)
+        return self.held_statistics.summary(
+            max((now - held.held_from for held in open_states if held.open), default=0.0)
         )
--- a/heathford/core/engine_attempt.py
+++ b/heathford/core/engine_attempt.py
@@ -1,10 +1,10 @@
-"""One attempt at one engine, as its link tells of it, and what a prefill attempt leaves."""
+"""One attempt of a request at one engine: what its link reports, and the state that a prefill leaves."""
 
 from collections.abc import Mapping
 from math import inf
 from typing import TYPE_CHECKING, Any
 
-from heathford.core.protocols import Call, Cancellable, Endpoint
+from heathford.core.protocols import LinkCall, Cancellable, Endpoint
 from heathford.core.gate import GateAttempt, Event, Reason, Stage
 from heathford.core.held_state import HeldStage, HeldState, ReleaseReason, SignOfLife
 from heathford.interface import ANSWERED_BY_ENGINE, NEVER_RAN, Role, Outcome
@@ -16,44 +16,57 @@
 
 
 class EngineAttempt:
-    """One dispatch, as its link tells of it."""
+    """One attempt of a request; its link reports on it: `heathford.core.protocols.CallEvents`.
 
-    def __init__(self, taken: "AcceptedRequest", seq: int, endpoint: Endpoint, now: float) -> None:
-        self.taken, self.seq, self.endpoint, self.sent = taken, seq, endpoint, now
-        self.name = taken.name if taken.one_name else f"{taken.name}.{seq}"
+    seq: its number among the request's attempts, from 0. handed_over_at: s on the loop's clock at which the
+    link got it. held: the state that this prefill attempt has left, or may have left, at its engine.
+    """
+
+    def __init__(self, request: "AcceptedRequest", seq: int, endpoint: Endpoint, now: float) -> None:
+        self.request, self.seq, self.endpoint, self.handed_over_at = request, seq, endpoint, now
+        self.name = request.name if request.attempts_share_name else f"{request.name}.{seq}"
         self.is_prefill = endpoint.role is Role.PREFILL
         self.streaming = self.over = False
-        self.arrival: Cancellable | None = None  # the look whether it has arrived
-        self.call: Call | None = None
-        self.held: HeldState | None = None  # what this prefill attempt has left
-        self.attempt = GateAttempt(taken.core.target(endpoint.number), self.is_prefill, now)
-        taken.life.attempts.append(self.attempt)
+        self.arrival_check: Cancellable | None = None  # timer
+        self.call: LinkCall | None = None
+        self.held: HeldState | None = None
+        self.gate_attempt = GateAttempt(request.core.target(endpoint.number), self.is_prefill, now)
+        request.lifecycle.attempts.append(self.gate_attempt)
 
     def record(self, event: str, reason: str = "", engine: str = "") -> None:
-        self.taken.core.history.add(self.taken.name, event, reason, self.seq, engine or self.endpoint.name)
+        self.request.core.history.add(
+            self.request.name, event, reason, self.seq, engine or self.endpoint.name
+        )
 
     def may_send(self) -> bool:
-        """Guards against an attempt that begins once its client has gone: the end of its connection may lie
-        unread behind what it sent ahead, or behind what the loop is busy with. Also against one whose engine
-        has begun to drain, or whose window has ended, while it waited for its connection or a release."""
-        core, taken = self.taken.core, self.taken
-        if self.over or taken.over:
+        """Decide right before the first byte leaves whether the attempt may still be sent.
+
+        While it waited for a connection or a release, its client may have disconnected, its engine may have
+        begun to drain, or the time in which the engines know its idempotency key may have ended. The end of
+        the client's connection may be unread yet: behind pipelined data, or because the loop is busy.
+        """
+        core, request = self.request.core, self.request
+        if self.over or request.over:
             return False
-        waits = taken.response_writer.client_connected()  # which may end it
-        if self.over or taken.over:
+        connected = request.response_writer.client_connected()  # may end this attempt
+        if self.over or request.over:
             return False
-        reason = core.gate.may_send(
-            taken.life, self.attempt, core.target(self.endpoint.number), waits, core.loop.time()
+        reason = core.gate.may_send_first_byte(
+            request.lifecycle,
+            self.gate_attempt,
+            core.target(self.endpoint.number),
+            connected,
+            core.loop.time(),
         )
         if reason is not Reason.ALLOWED:
             self.record("not sent", reason.value)
             return False
-        core.gate.step(taken.life, Event.SENT)
+        core.gate.transition(request.lifecycle, Event.SENT)
         self.record("sent")
         return True
 
     def answer_begun(self) -> None:
-        """The limit counts from the first byte that its prefill engine has answered."""
+        """Follow the held state from the first byte of the prefill engine's answer on."""
         if not self.over:
             self.record("answer begins")
             self.hold_state()
@@ -62,110 +75,128 @@
         if self.over or self.streaming:
             return
         self.streaming = True
-        self.taken.prefill.was_taken()
-        if self.taken.life.stage is Stage.SENT:  # else its client has just been answered or has left
-            self.taken.core.gate.step(self.taken.life, Event.FIRST_EVENT)
+        self.request.prefill.state_fetched()
+        # Otherwise the request has just been answered, or its client has left.
+        if self.request.lifecycle.stage is Stage.SENT:
+            self.request.core.gate.transition(self.request.lifecycle, Event.FIRST_EVENT)
         self.record("first event")
-        self.taken.release_late_prefill()
-        core, taken = self.taken.core, self.taken
-        latency = core.loop.time() - self.sent
-        if taken.timer:
-            taken.timer.cancel()
-        taken.body = None  # nothing is sent again from now on: kept while answers stream, prompts fill memory
+        self.request.release_late_prefill()
+        core, request = self.request.core, self.request
+        latency = core.loop.time() - self.handed_over_at
+        if request.timer:
+            request.timer.cancel()
+        request.body = None  # no retry from here on; prompts kept during long streams would fill the memory
         if core.stream_limit < inf:
-            taken.timer = core.loop.call_at(core.loop.time() + core.stream_limit, taken.stream_too_long)
-        core.tell(taken, lambda handle: handle.first_token(self.seq, latency))
+            request.timer = core.loop.call_at(core.loop.time() + core.stream_limit, request.abort_long_stream)
+        core.notify_router(request, lambda handle: handle.first_token(self.seq, latency))
 
     def hold_state(self) -> HeldState:
-        """Follow what this prefill attempt has left, or may have left; anew once that counts as released, as
-        an attempt that was out then may have kept it."""
+        """Return the followed state of this prefill attempt, which may hold one at its engine.
+
+        A new one begins if the last one has ended: after a release, a decode attempt that was in flight then
+        may have kept the state.
+        """
         if not self.held or not self.held.open:
-            core = self.taken.core
+            core = self.request.core
             self.held = HeldState(core.loop.time(), core.loop.time, self.record, core.held_statistics)
-            self.expect_end_of_hold(self.held)
+            self.schedule_held_check(self.held)
         return self.held
 
-    def expect_end_of_hold(self, held: HeldState) -> None:
-        core = self.taken.core
-        held.check = core.loop.call_at(core.gate.held_until(held.since, core.pin_limit), self.check_held)
+    def schedule_held_check(self, held: HeldState) -> None:
+        core = self.request.core
+        held.check_timer = core.loop.call_at(
+            core.gate.held_until(held.since, core.pin_limit), self.check_held
+        )
 
     def check_held(self) -> None:
-        """Guards against a state that stays held unseen: looked at when its limit is over, by what engines
-        have told, not by what was sent."""
-        held, core = self.held, self.taken.core
+        """Count a violation where a state is still held when its limit has passed.
+
+        Judged by what engines have confirmed, not by what was sent to them.
+        """
+        held, core = self.held, self.request.core
         if not held or not held.open:
             return
         now = core.loop.time()
         if now < core.gate.held_until(held.since, core.pin_limit):
-            self.expect_end_of_hold(held)
+            self.schedule_held_check(held)
         else:
-            core.gate.held_too_long(self.taken.name, now - held.since, held.stage.value)
+            core.gate.held_too_long(self.request.name, now - held.since, held.stage.value)
+
+    def check_engine_liveness(self) -> None:
+        """Check whether the engine of this attempt runs.
 
-    def look_for_life(self) -> None:
-        """Learn whether the engine of this attempt runs: its state is being released, so it has answered
-        nothing yet."""
-        core = self.taken.core
+        Called while the state that the attempt waits for is being released, so nothing has been received on
+        the attempt yet.
+        """
+        core = self.request.core
         if self.over or self.streaming or not self.call:
             return
-        if core.link.last_received_at(self.endpoint) > self.sent:
+        if core.link.last_received_at(self.endpoint) > self.handed_over_at:
             self.record("look for life", SignOfLife.HEARD_SINCE.value)
             return
-        core.link.check_liveness(self.endpoint, self.name, SILENT_AFTER, self.life_told)
+        core.link.check_liveness(self.endpoint, self.name, SILENT_AFTER, self.on_liveness_result)
 
-    def life_told(self, alive: bool) -> None:
-        """What came of it."""
+    def on_liveness_result(self, alive: bool) -> None:
+        """Handle the result of the liveness check."""
         if self.over or self.streaming:
             return
-        core = self.taken.core
-        alive = alive or core.link.last_received_at(self.endpoint) > self.sent
+        core = self.request.core
+        alive = alive or core.link.last_received_at(self.endpoint) > self.handed_over_at
         self.record("look for life", (SignOfLife.ANSWERS if alive else SignOfLife.SILENT).value)
         if not alive:
-            core.tell(self.taken, lambda handle: handle.engine_silent(self.seq))
+            core.notify_router(self.request, lambda handle: handle.engine_silent(self.seq))
 
-    def look_for_arrival(self) -> None:
-        """Guards against a state that is held behind an attempt which reaches nobody: it stops no clock."""
+    def check_arrival(self) -> None:
+        """Give a decode attempt up that has not arrived and doesn't progress, so that its state is not held.
+
+        An attempt that doesn't arrive doesn't extend the time for which the state may be held.
+        """
         if not self.call or self.over or self.streaming:
             return
-        core = self.taken.core
-        now, due = core.loop.time(), release_time(self.taken.prefill.read_at, core.pin_limit)
+        core = self.request.core
+        now, due = core.loop.time(), release_time(self.request.prefill.prefilled_at, core.pin_limit)
         if now < due - TIMER_TOLERANCE and self.call.is_progressing():
-            self.arrival = core.loop.call_at(min(now + PROGRESS_CHECK_INTERVAL, due), self.look_for_arrival)
+            self.arrival_check = core.loop.call_at(
+                min(now + PROGRESS_CHECK_INTERVAL, due), self.check_arrival
+            )
         else:
             self.record("look for arrival", self.call.give_up_unless_arrived().name)
 
     def tokens(self, part: Any) -> None:
-        if self.streaming and not self.over and not self.taken.over:
-            self.taken.response_writer.tokens(part)
+        if self.streaming and not self.over and not self.request.over:
+            self.request.response_writer.tokens(part)
 
     def ended(
-        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, outcome: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
         if self.over:
             return
         self.over = True
-        if self.arrival:
-            self.arrival.cancel()
-        taken, core = self.taken, self.taken.core
-        self.attempt.verdict = verdict
-        core.gate.step(taken.life, Event.ENDED)
-        self.record("ended", verdict.value)
+        if self.arrival_check:
+            self.arrival_check.cancel()
+        request, core = self.request, self.request.core
+        self.gate_attempt.outcome = outcome
+        core.gate.transition(request.lifecycle, Event.ENDED)
+        self.record("ended", outcome.value)
         now = core.loop.time()
-        latency = now - self.sent
-        if verdict in ANSWERED_BY_ENGINE:
-            taken.prefill.engine_answered(now)
-        if taken.in_flight is self:
-            taken.in_flight = None
-        if verdict is Outcome.PREFILLED:
-            taken.prefill.was_left(self, answer["kv"], now)
-            if taken.abandoned:
-                taken.release(ReleaseReason.REQUEST_OVER)
-        elif self.is_prefill and verdict not in NEVER_RAN:
-            taken.prefill_ended_unclear(self)
+        latency = now - self.handed_over_at
+        if outcome in ANSWERED_BY_ENGINE:
+            request.prefill.engine_answered(now)
+        if request.in_flight is self:
+            request.in_flight = None
+        if outcome is Outcome.PREFILLED:
+            request.prefill.prefill_succeeded(self, answer["kv"], now)
+            if request.abandoned:
+                request.release(ReleaseReason.REQUEST_OVER)
+        elif self.is_prefill and outcome not in NEVER_RAN:
+            request.release_unclear_prefill(self)
         elif self.held:
             self.held.end(HeldStage.NEVER_HELD)
-        if verdict is Outcome.FINISHED:
-            taken.finish(answer.get("reason") or "stop", answer.get("usage") or {})
+        if outcome is Outcome.FINISHED:
+            request.finish(answer.get("reason") or "stop", answer.get("usage") or {})
         elif self.streaming:
-            taken.abort(f"the stream ended early: {verdict.value}")
-        closed = taken.over
-        core.tell(taken, lambda handle: handle.ended(self.seq, verdict, latency, closed, detail, load))
+            request.abort(f"the stream ended early: {outcome.value}")
+        closed = request.over
+        core.notify_router(
+            request, lambda handle: handle.ended(self.seq, outcome, latency, closed, detail, load)
+        )
--- a/heathford/core/gate.py
+++ b/heathford/core/gate.py
@@ -1,8 +1,9 @@
-"""Decides whether something may be sent, repeated, refused, closed or started now; no I/O.
+"""Decides whether something may be sent, retried, refused, closed or started now; no I/O.
 
-Core, link and client connections ask right before bytes leave: what was decided earlier may be out of date,
-as an attempt waits for its connection or for a release. Each answer carries its reason. A step that the table
-of transitions does not allow is a violation: it is counted by rule and told, and tests fail on it.
+Core, link and client connections ask right before bytes are written, because an earlier decision may be
+outdated by then: an attempt waits for its connection or for a release. Each answer has a reason. A state
+transition that the table doesn't allow is a violation: it is counted by rule and reported, and tests fail on
+it.
 """
 
 from collections import Counter
@@ -24,7 +25,7 @@
 
 
 class Rule(Enum):
-    """The users' rules, as the pages number them."""
+    """The rules of service. Their names and values are written to logs and metrics."""
 
     ONE_ANSWER = "one final answer, in time"
     NO_EFFECT_TWICE = "no effect twice, no two attempts out"
@@ -34,7 +35,7 @@
 
 
 class Stage(Enum):
-    """Where a request stands."""
+    """State of a request. Names are written to logs."""
 
     OPEN = "taken, no attempt out"
     WAITING = "an attempt waits for its connection or a release"
@@ -46,7 +47,7 @@
 
 
 class Event(Enum):
-    """What happens to a request."""
+    """Event in the life of a request. Names are written to logs."""
 
     HANDED_OVER = "an attempt is given to the link"
     SENT = "its first byte leaves"
@@ -76,7 +77,9 @@
     (Stage.ANSWERED, Event.ENDED): Stage.ANSWERED,
     (Stage.LEFT, Event.ENDED): Stage.LEFT,
 }
-BROKEN_RULE = {
+# The rule that an event breaks where the table above doesn't allow it.
+# The rule that an event breaks where the table above doesn't allow it.
+RULE_OF_EVENT = {
     Event.HANDED_OVER: Rule.NO_EFFECT_TWICE,
     Event.SENT: Rule.NO_EFFECT_TWICE,
     Event.FIRST_EVENT: Rule.NO_EFFECT_TWICE,
@@ -87,7 +90,7 @@
 
 
 class Reason(Enum):
-    """Why something may be done or not."""
+    """Why something may be done or not. Names and values are written to logs and metrics."""
 
     ALLOWED = "allowed"
     OVER = "the request is over"
@@ -104,7 +107,7 @@
 
 
 class Target(Protocol):
-    """The engine that an attempt is meant for, as the list says now."""
+    """The engine of an attempt, as the endpoint list has it now."""
 
     health: Health
     zone: int
@@ -112,143 +115,160 @@
 
 
 @dataclass
-class Place:
-    """A target of its own, as of an engine that the list no longer names."""
+class FixedTarget:
+    """A target that is not in the endpoint list."""
 
     health: Health
     zone: int
     cell: int
 
 
-NOT_LISTED = Place(Health.REMOVED, -1, -1)
+NOT_LISTED = FixedTarget(Health.REMOVED, -1, -1)
 
 
 @dataclass(slots=True)
 class GateAttempt:
-    """One attempt of a request. sent_at: s on the loop's clock."""
+    """What the gate knows of one attempt. sent_at: s on the loop's clock; outcome: None while in flight."""
 
     target: Target
     is_prefill: bool
     sent_at: float
-    verdict: Outcome | None = None
+    outcome: Outcome | None = None
 
     @property
     def may_have_run(self) -> bool:
-        return not self.is_prefill and self.verdict not in NEVER_RAN
+        return not self.is_prefill and self.outcome not in NEVER_RAN
 
 
 @dataclass(slots=True)
-class RequestLife:
-    """The state of one request and its attempts so far."""
+class RequestLifecycle:
+    """The state of one request, and its attempts so far."""
 
     name: str
     workload: Workload
     stage: Stage = Stage.OPEN
     attempts: list[GateAttempt] = field(default_factory=list)
 
-    def earlier_risks(self, attempt: GateAttempt | None = None) -> list[GateAttempt]:
-        """Other attempts that may have had an effect."""
+    def possibly_run_attempts(self, attempt: GateAttempt | None = None) -> list[GateAttempt]:
+        """Return the other attempts that may have had an effect."""
         return [other for other in self.attempts if other is not attempt and other.may_have_run]
 
 
 class Gate:
-    """Answers for all requests of one process.
+    """Gives or refuses permission, for all requests of one process.
 
-    violated: told of each violation, with the request's name. keyed_repeats: whether a keyed request may be
-    repeated after an attempt that may have run.
+    on_violation: called for each violation with its rule, the request's name and what happened.
+    keyed_repeats: whether an idempotency-keyed request may be retried after an attempt that may have run.
     """
 
-    def __init__(self, violated: Callable[[Rule, str, str], None], keyed_repeats: bool = True) -> None:
-        self.violated, self.keyed_repeats = violated, keyed_repeats
+    def __init__(self, on_violation: Callable[[Rule, str, str], None], keyed_repeats: bool = True) -> None:
+        self.on_violation, self.keyed_repeats = on_violation, keyed_repeats
         self.violations: Counter[Rule] = Counter()
         self.refused: Counter[Reason] = Counter()
 
     def record_violation(self, rule: Rule, name: str, what: str) -> None:
         self.violations[rule] += 1
-        self.violated(rule, name, what)
+        self.on_violation(rule, name, what)
 
     def refuse(self, reason: Reason) -> Reason:
         self.refused[reason] += 1
         return reason
 
-    def step(self, life: RequestLife, event: Event) -> bool:
-        """Take a step if the table allows it; else count a violation and stay."""
-        stage = TRANSITIONS.get((life.stage, event))
+    def transition(self, lifecycle: RequestLifecycle, event: Event) -> bool:
+        """Apply an event if the table allows it; otherwise count a violation and keep the state."""
+        stage = TRANSITIONS.get((lifecycle.stage, event))
         if stage is None:
-            self.record_violation(BROKEN_RULE[event], life.name, f"{event.name} while {life.stage.name}")
+            self.record_violation(
+                RULE_OF_EVENT[event], lifecycle.name, f"{event.name} while {lifecycle.stage.name}"
+            )
             return False
-        life.stage = stage
+        lifecycle.stage = stage
         return True
 
-    def may_send(
-        self, life: RequestLife, attempt: GateAttempt, target: Target, client_waits: bool, now: float
+    def may_send_first_byte(
+        self,
+        lifecycle: RequestLifecycle,
+        attempt: GateAttempt,
+        target: Target,
+        client_connected: bool,
+        now: float,
     ) -> Reason:
-        """Whether the first byte of an attempt may leave now; target: its engine as the list says now."""
-        if not client_waits:
+        """Return whether the first byte of an attempt may be written now.
+
+        target: its engine, as the endpoint list has it now. now: s on the loop's clock.
+        """
+        if not client_connected:
             return self.refuse(Reason.CLIENT_GONE)
-        if life.stage is not Stage.WAITING:
+        if lifecycle.stage is not Stage.WAITING:
             return self.refuse(Reason.OVER)
-        if len(life.attempts) > 1 and any(
-            other.verdict is None for other in life.attempts if other is not attempt
+        if len(lifecycle.attempts) > 1 and any(
+            other.outcome is None for other in lifecycle.attempts if other is not attempt
         ):
-            self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "a second attempt while one is out")
+            self.record_violation(Rule.NO_EFFECT_TWICE, lifecycle.name, "a second attempt while one is out")
             return self.refuse(Reason.ANOTHER_OUT)
         if target.health is not Health.ON:
             return self.refuse(Reason.ENGINE_LEAVES)
         if not attempt.is_prefill:
-            return self.may_repeat(life, attempt, target, now)
+            return self.may_repeat(lifecycle, attempt, target, now)
         return Reason.ALLOWED
 
-    def may_repeat(self, life: RequestLife, attempt: GateAttempt, target: Target, now: float) -> Reason:
-        """Whether an attempt may run beside what earlier ones may have done."""
-        if len(life.attempts) == 1:
+    def may_repeat(
+        self, lifecycle: RequestLifecycle, attempt: GateAttempt, target: Target, now: float
+    ) -> Reason:
+        """Return whether an attempt may run, given what earlier attempts may have done."""
+        if len(lifecycle.attempts) == 1:
             return Reason.ALLOWED
-        risks, workload = life.earlier_risks(attempt), life.workload
-        if not risks or workload.effect is Effect.IDEMPOTENT:
+        possibly_run, workload = lifecycle.possibly_run_attempts(attempt), lifecycle.workload
+        if not possibly_run or workload.effect is Effect.IDEMPOTENT:
             return Reason.ALLOWED
         if workload.effect is Effect.NON_IDEMPOTENT or not self.keyed_repeats:
             self.record_violation(
-                Rule.NO_EFFECT_TWICE, life.name, "a further attempt after one that may have run"
+                Rule.NO_EFFECT_TWICE, lifecycle.name, "a further attempt after one that may have run"
             )
             return self.refuse(Reason.MAY_HAVE_RUN)
-        if now + STALL_ALLOWANCE - risks[0].sent_at >= workload.key_ttl:
+        if now + STALL_ALLOWANCE - possibly_run[0].sent_at >= workload.key_ttl:
             return self.refuse(Reason.WINDOW_OVER)
-        for other in risks:
-            # Cells lie in zones; where the list names no cells all engines look like one.
+        for other in possibly_run:
+            # Cells lie within zones; where the endpoint list has no cells, all engines seem to be in one.
             same_zone = other.target.zone == target.zone
             same_cell = same_zone and other.target.cell == target.cell
             known = same_zone if workload.group is Group.ZONE else same_cell
             if workload.group is not Group.ALL and not known:
-                self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "a repeat outside its group")
+                self.record_violation(Rule.NO_EFFECT_TWICE, lifecycle.name, "a repeat outside its group")
                 return self.refuse(Reason.OUTSIDE_GROUP)
         return Reason.ALLOWED
 
-    def may_answer_refused(self, life: RequestLife) -> Reason:
-        """Whether the client may be told that a new try does no harm."""
-        workload = life.workload
+    def may_answer_rate_limited(self, lifecycle: RequestLifecycle) -> Reason:
+        """Return whether the client may be told that repeating the request does no harm."""
+        workload = lifecycle.workload
         known_everywhere = workload.effect is Effect.IDEMPOTENCY_KEYED and workload.group is Group.ALL
-        if workload.effect is Effect.IDEMPOTENT or known_everywhere or not life.earlier_risks():
+        if workload.effect is Effect.IDEMPOTENT or known_everywhere or not lifecycle.possibly_run_attempts():
             return Reason.ALLOWED
-        self.record_violation(Rule.NO_EFFECT_TWICE, life.name, "refused although an attempt may have run")
+        self.record_violation(
+            Rule.NO_EFFECT_TWICE, lifecycle.name, "refused although an attempt may have run"
+        )
         return self.refuse(Reason.MAY_HAVE_RUN)
 
     def held_until(self, since: float, limit: float) -> float:
-        """When a state breaks the rule that is held since then; s on the loop's clock."""
+        """Return when a state that is held since then breaks the rule; s on the loop's clock."""
         return since + limit + HELD_ALLOWANCE
 
     def held_too_long(self, name: str, seconds: float, stage: str) -> None:
-        """What prefill left is still held, as far as engines have told."""
+        """Count a violation: a state is still held, as no engine has confirmed its release."""
         self.record_violation(Rule.HELD, name, f"held for {seconds:.3f} s, {stage}")
 
     def may_close(self, answer_owed: bool, half_read: bool, unread: bool) -> Reason:
-        """Whether a client's connection may be shut now."""
+        """Return whether a client's connection may be closed now."""
         if answer_owed or half_read:
-            return Reason.ANSWER_OWED  # asked at every sweep: not counted
+            return Reason.ANSWER_OWED  # not counted: every periodic check of the connection asks
         return self.refuse(Reason.UNREAD) if unread else Reason.ALLOWED
 
-    def may_start(self, kept: bool, read_at: float, ends_at: float) -> Reason:
-        """Whether a request that has been read may begin; ends_at: s on the loop's clock from which a process
-        that ends takes nothing."""
-        if not kept:
+    def may_start(self, buffered: bool, read_at: float, ends_at: float) -> Reason:
+        """Return whether a request that has been read may start.
+
+        buffered: whether it is within what is buffered for one client. read_at, ends_at: s on the loop's
+        clock; from ends_at on, a process that shuts down accepts no request.
+        """
+        if not buffered:
             return self.refuse(Reason.TOO_MUCH)
         return self.refuse(Reason.ENDING) if read_at >= ends_at else Reason.ALLOWED
--- a/heathford/core/held_state.py
+++ b/heathford/core/held_state.py
@@ -1,6 +1,6 @@
-"""What a prefill attempt has left at its engine, followed until it is known to be taken or released; no I/O.
+"""Follows the state that a prefill attempt left at its engine until it is fetched or released; no I/O.
 
-Nothing here sends: a link tells of each step of a release, the core of all else.
+A link reports each step of a release, the core everything else.
 """
 
 from collections import Counter
@@ -11,14 +11,14 @@
 
 
 class HeldStage(Enum):
-    """Where a held state stands, as far as it is known."""
+    """Stage of a held state, as far as this process knows."""
 
-    WAITING = "waiting"  # for a decode attempt, or for one that is out to begin
+    WAITING = "waiting"  # for a decode attempt, or for one in flight to begin to stream
     RELEASING = "releasing"  # engines are asked to release it
-    TAKEN = "taken"  # by a decode attempt that has begun to stream
+    FETCHED = "taken"  # a decode attempt has begun to stream
     RELEASED = "released"  # an engine has confirmed it
-    NEVER_HELD = "never held"  # its prefill attempt was turned away
-    UNCONFIRMED = "unconfirmed"  # no engine has confirmed the release in its time
+    NEVER_HELD = "never held"  # the prefill attempt was refused
+    UNCONFIRMED = "unconfirmed"  # no engine has confirmed the release in time
 
 
 OPEN_STAGES = (HeldStage.WAITING, HeldStage.RELEASING)
@@ -35,7 +35,7 @@
 
 
 class SignOfLife(Enum):
-    """What is known of the engine of an attempt whose state is being released."""
+    """Whether the engine of an attempt runs whose state is being released."""
 
     HEARD_SINCE = "its engine was heard since"
     ANSWERS = "its engine answers"
@@ -43,25 +43,31 @@
 
 
 class HeldStatistics:
-    """Counts over all requests of a process. longest: s for which a state was held since last told."""
+    """Counts over all requests of a process.
+
+    longest: s for which a state was held at most since the last summary.
+    """
 
     def __init__(self) -> None:
         self.open = 0
         self.longest = 0.0
         self.ends: Counter[HeldStage] = Counter()
 
-    def told(self, longest_open: float) -> dict[str, float]:
-        """For the state line; `longest` begins anew. longest_open: s, of those that are still held."""
+    def summary(self, longest_open: float) -> dict[str, float]:
+        """Return the figures for the periodic state log line, and reset `longest`.
+
+        longest_open: longest time in s for which a state that is still held has been held.
+        """
         longest, self.longest = max(self.longest, longest_open), 0.0
         ends = {stage.value: float(count) for stage, count in self.ends.items()}
         return {"open": self.open, "longest": round(longest, 3), **ends}
 
 
 class HeldState:
-    """The state of one prefill attempt. since: s on the loop's clock from which the limit counts.
+    """The state that one prefill attempt left; a link reports its release (`protocols.ReleaseEvents`).
 
-    record: writes an event, its reason and an engine to the request's history. It is told of a release by
-    its link (`heathford.core.protocols.ReleaseEvents`).
+    since: s on the loop's clock from which the limit counts. record: writes an event, its reason and an
+    engine to the request's history.
     """
 
     def __init__(
@@ -72,47 +78,47 @@
         statistics: HeldStatistics,
     ) -> None:
         self.since, self.clock, self.record, self.statistics = since, clock, record, statistics
-        self.begun_at = since
-        self.check: Cancellable | None = None  # due when the limit is over; cancelled as it ends
+        self.held_from = since
+        self.check_timer: Cancellable | None = None  # fires when the limit has passed
         self.stage = HeldStage.WAITING
         statistics.open += 1
 
     @property
     def open(self) -> bool:
-        """Whether it may still be held."""
+        """Whether the state may still be held."""
         return self.stage in OPEN_STAGES
 
-    def release_begins(self) -> None:
-        """Engines are asked from now on."""
+    def release_started(self) -> None:
+        """Note that engines are being asked to release the state."""
         if self.open:
             self.stage = HeldStage.RELEASING
 
     def end(self, stage: HeldStage) -> None:
-        """It is held no longer, or can't be followed further. The first call counts."""
+        """Stop following: the state is no longer held, or no more can be learned. The first call counts."""
         if not self.open:
             return
         self.stage = stage
-        if self.check:
-            self.check.cancel()
-            self.check = None
+        if self.check_timer:
+            self.check_timer.cancel()
+            self.check_timer = None
         self.statistics.open -= 1
         self.statistics.ends[stage] += 1
-        self.statistics.longest = max(self.statistics.longest, self.clock() - self.begun_at)
+        self.statistics.longest = max(self.statistics.longest, self.clock() - self.held_from)
 
     def requested(self, engine: str) -> None:
-        """A release is on its way to an engine."""
+        """Record that an engine is being asked for the release."""
         self.record("release asked", "", engine)
 
     def not_confirmed(self, engine: str, status: int) -> None:
-        """An engine did not confirm the release; status: of its answer, 0 without one."""
+        """Record that an engine did not confirm the release; status: of its answer, 0 without one."""
         self.record("release unanswered", f"status {status}" if status else "no answer", engine)
 
     def confirmed(self, engine: str) -> None:
-        """An engine has confirmed the release."""
+        """Record that an engine has confirmed the release."""
         self.record("release confirmed", "", engine)
         self.end(HeldStage.RELEASED)
 
     def failed(self) -> None:
-        """No engine has confirmed the release in its time."""
+        """Record that no engine has confirmed the release in time."""
         self.record("release failed", "", "")
         self.end(HeldStage.UNCONFIRMED)
--- a/heathford/core/history.py
+++ b/heathford/core/history.py
@@ -1,20 +1,20 @@
-"""What happened to the last few thousand requests, kept in memory and written out when something is wrong.
+"""A ring buffer of request events, written to the log when something is wrong.
 
-Several records are made for each request: they are kept as tuples, which cost least and which the garbage
-collector does not look at, and told as `Record`.
+Each request makes several records. They are stored as tuples, which are cheap and which the garbage collector
+doesn't scan, and returned as `Record`.
 """
 
 from collections import Counter, deque
 from collections.abc import Callable, Iterator
 from dataclasses import dataclass
 
-RECORDS = 4_096  # some hundred requests of a busy front node: what led to a violation is among them
-WRITTEN_AT_MOST = 400  # records written out at once: a log line each
+MAX_RECORDS = 4_096  # some hundred requests of a busy front node, so what led to a violation is among them
+MAX_WRITTEN_RECORDS = 400  # at once: each is a log line
 
 
 @dataclass(frozen=True)
 class Record:
-    """time: s on the loop's clock; attempt: its number, -1 where none is meant."""
+    """One event. time: s on the loop's clock; attempt: its number within the request, -1 for none."""
 
     time: float
     request: str
@@ -25,11 +25,11 @@
 
 
 class History:
-    """A ring of records, and counts of all reasons since the start."""
+    """A ring buffer of records, and counts of all reasons since the process started."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.clock = clock
-        self.records: deque[tuple[float, str, str, int, str, str]] = deque(maxlen=RECORDS)
+        self.records: deque[tuple[float, str, str, int, str, str]] = deque(maxlen=MAX_RECORDS)
         self.reasons: Counter[tuple[str, str]] = Counter()  # by event and reason
 
     def add(self, request: str, event: str, reason: str = "", attempt: int = -1, engine: str = "") -> None:
@@ -37,15 +37,15 @@
         if reason:
             self.reasons[event, reason] += 1
 
-    def told(self, request: str) -> list[str]:
-        """Events of one request with their reasons, in order, as lines."""
+    def event_lines(self, request: str) -> list[str]:
+        """Return the events of one request in order, each as a line with its reason."""
         return [": ".join(filter(None, (record.event, record.reason))) for record in self.of(request)]
 
     def of(self, request: str) -> list[Record]:
-        """All that is still known of one request."""
+        """Return the records of one request that are still in the buffer."""
         return [Record(*record) for record in self.records if record[1] == request]
 
     def newest(self) -> Iterator[Record]:
-        """The last records, oldest first."""
-        skipped = max(0, len(self.records) - WRITTEN_AT_MOST)
+        """Return the last `MAX_WRITTEN_RECORDS` records, oldest first."""
+        skipped = max(0, len(self.records) - MAX_WRITTEN_RECORDS)
         return (Record(*record) for place, record in enumerate(self.records) if place >= skipped)
--- a/heathford/core/prefill_state.py
+++ b/heathford/core/prefill_state.py
@@ -1,4 +1,4 @@
-"""What a request's prefill attempts have left at their engines, and which may still leave something."""
+"""The state that a request's prefill attempts have left, or may still leave, at their engines."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING, Any
@@ -10,49 +10,53 @@
 
 
 class PrefillState:
-    """Of one request. Nothing here sends or releases: its request does.
+    """The prefill state of one request. Its request sends and releases; nothing here does.
 
-    transfer: what a decode engine is told to find the state, None while there is none. read_at: s on the
-    loop's clock at which it was left. held: the state that is followed, also while it is being released.
+    transfer: the KV transfer parameters by which a decode engine finds the state, None while there is none.
+    prefilled_at: s on the loop's clock at which the prefill attempt ended. held: the state that is followed,
+    also while it is being released.
     """
 
     def __init__(self) -> None:
         self.transfer: Mapping[str, Any] | None = None
-        self.read_at = 0.0
+        self.prefilled_at = 0.0
         self.held: HeldState | None = None
-        self.left_by: EngineAttempt | None = None  # the prefill attempt that left the state which waits now
-        self.released_from: EngineAttempt | None = None  # the same, once its state was released
-        self.unclear: EngineAttempt | None = None  # the last that may end well after its release
+        self.source: EngineAttempt | None = None  # the prefill attempt that left the waiting state
+        self.released_source: EngineAttempt | None = None  # the same, once its state is released
+        self.unclear_attempt: EngineAttempt | None = None  # the last that may still succeed after its release
 
     @property
-    def waits(self) -> bool:
-        """A state waits for a decode attempt, or for one that is out to begin."""
-        return self.left_by is not None
+    def is_waiting(self) -> bool:
+        """Whether a state waits for a decode attempt, or for one in flight to begin to stream."""
+        return self.source is not None
 
-    def was_left(self, attempt: "EngineAttempt", transfer: Mapping[str, Any], now: float) -> None:
-        """A prefill attempt has ended well."""
-        self.left_by, self.transfer, self.read_at = attempt, transfer, now
+    def prefill_succeeded(self, attempt: "EngineAttempt", transfer: Mapping[str, Any], now: float) -> None:
+        """Note the state that a successful prefill attempt has left."""
+        self.source, self.transfer, self.prefilled_at = attempt, transfer, now
         self.held = attempt.hold_state()
 
     def engine_answered(self, now: float) -> None:
-        """The limit counts anew from what an engine itself has told."""
+        """Restart the time limit of the held state: an engine itself has answered."""
         if self.held:
             self.held.since = now
 
-    def was_taken(self) -> None:
-        """An attempt of the request has begun to stream."""
-        self.released_from = None
+    def state_fetched(self) -> None:
+        """Note that the state is fetched: an attempt of the request has begun to stream."""
+        self.released_source = None
         if self.held:
-            self.held.end(HeldStage.TAKEN)
-
-    def to_release(self) -> "EngineAttempt | None":
-        """The prefill attempt whose state is released from now on: the one that waits, or once more the one
-        that was released last, for what an attempt may have kept then."""
-        self.released_from = self.left_by or self.released_from
-        self.left_by = self.transfer = None
-        return self.released_from
-
-    def unclear_before(self, last: "EngineAttempt") -> "EngineAttempt | None":
-        """The prefill attempt that ended unclear and that others followed, up to the last one; told once."""
-        attempt, self.unclear = self.unclear, None
+            self.held.end(HeldStage.FETCHED)
+
+    def start_release(self) -> "EngineAttempt | None":
+        """Return the prefill attempt whose state is to be released, and stop offering that state.
+
+        That is the attempt whose state waits; otherwise the one released last, once more, as a decode attempt
+        may have kept its state then.
+        """
+        self.released_source = self.source or self.released_source
+        self.source = self.transfer = None
+        return self.released_source
+
+    def take_unclear_before(self, last: "EngineAttempt") -> "EngineAttempt | None":
+        """Return and forget the prefill attempt with an unknown result; None if it is the last attempt."""
+        attempt, self.unclear_attempt = self.unclear_attempt, None
         return None if attempt is last else attempt
--- a/heathford/core/protocols.py
+++ b/heathford/core/protocols.py
@@ -1,4 +1,4 @@
-"""What the core needs of those beside it: a sink for each completion, a link to engines, a loop for time."""
+"""Interfaces that the core needs: a response writer for each request, a link to engines, an event loop."""
 
 import asyncio
 from collections.abc import Callable, Mapping
@@ -12,27 +12,33 @@
 
 
 class ResponseWriter(Protocol):
-    """Where a completion's tokens and its one final answer go; the core calls one of the last three, once."""
+    """Passes a request's tokens and its final answer on to the client.
+
+    The core calls exactly one of `finished`, `rate_limited` and `aborted`, once.
+    """
 
     def client_connected(self) -> bool:
-        """Whether the client is still there, as far as this machine knows by now; asked right before an
-        attempt begins. False has been told to the core by `leave` as well."""
+        """Return whether the client is still connected, as far as this machine knows.
+
+        Called right before an attempt is sent. Where it returns False, `AcceptedRequest.client_left` has been
+        called too.
+        """
 
     def tokens(self, part: Any) -> None:
-        """As the link tells them, untouched: text, or events as bytes."""
+        """Pass on what the link received, unchanged: text, or events as bytes."""
 
     def finished(self, reason: str, usage: Mapping[str, Any]) -> None: ...
 
     def rate_limited(self, retry_after: float) -> None:
-        """A new try does harm to nothing; retry_after in s."""
+        """Answer that a retry does no harm; retry_after: s."""
 
     def aborted(self, why: str) -> None:
-        """No promise about what has run."""
+        """Answer that the request failed; it may have run."""
 
 
 @dataclass(eq=False)
 class Endpoint:
-    """An engine as the list names it. A new process under the same name is the same endpoint."""
+    """An engine as the endpoint list names it; a new process under the same name is the same endpoint."""
 
     number: int
     name: str
@@ -41,26 +47,28 @@
     port: int
 
 
-class Call(Protocol):
-    """One dispatch that is out."""
+class LinkCall(Protocol):
+    """One attempt that a link carries."""
 
     def cancel(self) -> None:
-        """Ends it with CANCELLED, unless it has ended."""
+        """End the attempt with CANCELLED, unless it has ended."""
 
     def withdraw(self) -> None:
-        """Ends it with UNSENT, unless something of it may have left or it has ended."""
+        """End the attempt with UNSENT, unless a part of it may have been sent or it has ended."""
 
     def is_progressing(self) -> bool:
-        """Whether its bytes are on their way and have moved of late, as far as this machine knows."""
+        """Return whether its bytes are being sent and some have been taken lately, as this machine knows."""
 
     def give_up_unless_arrived(self) -> "Arrival":
-        """Ends it with UNREACHABLE where its last byte has not been handed to this machine's kernel, with
-        UNARRIVED where the kernel has had it and the far machine has not confirmed it; unless it has ended.
-        Tells what was found."""
+        """End the attempt if it has not arrived, and return how far it has come.
+
+        It ends with UNREACHABLE if its last byte has not been handed to this machine's kernel, and with
+        UNARRIVED if the kernel has the byte but the far machine has not acknowledged it.
+        """
 
 
 class Arrival(Enum):
-    """How far a dispatch has come, as far as this machine knows."""
+    """How far an attempt has come, as far as this machine knows."""
 
     UNSENT = "its last byte has not left this process"
     UNCONFIRMED = "its last byte may have left, and the far machine has not confirmed it"
@@ -69,46 +77,52 @@
 
 
 class ReleaseEvents(Protocol):
-    """What a link tells of one release, of each engine by its name or address."""
+    """What a link reports on one release; engines are given by name or address."""
 
     def requested(self, engine: str) -> None:
-        """The release is on its way to an engine."""
+        """Report that an engine is being asked for the release."""
 
     def not_confirmed(self, engine: str, status: int) -> None:
-        """An engine did not confirm it; status: of its answer, 0 where there was none."""
+        """Report that an engine did not confirm it; status: HTTP status of the answer, 0 if none came."""
 
     def confirmed(self, engine: str) -> None:
-        """An engine has confirmed it. The last that is told, as `failed` is."""
+        """Report that an engine has confirmed the release. This or `failed` is the last report."""
 
     def failed(self) -> None:
-        """No engine has confirmed it in its time."""
+        """Report that no engine has confirmed the release in time."""
 
 
 class CallEvents(Protocol):
-    """What a link tells of one dispatch: any number of tokens, then ended, once, and nothing after it."""
+    """What a link reports on one attempt: any number of tokens, then `ended` once, and nothing after it."""
 
     def may_send(self) -> bool:
-        """Asked right before the first byte leaves: whether the attempt is to begin. If not, the link ends it
-        as UNSENT, unless that has happened meanwhile."""
+        """Return, right before the first byte is sent, whether the attempt may be sent.
+
+        If not, the link ends it with UNSENT, unless it has ended meanwhile.
+        """
 
     def answer_begun(self) -> None:
-        """Part of a reader's answer has come: it may hold the state from now on."""
+        """Report that a prefill engine's answer has begun: it may hold the state from now on."""
 
     def first_token(self) -> None: ...
 
     def tokens(self, part: Any) -> None: ...
 
     def ended(
-        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, outcome: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
-        """Detail as in the interface; answer: `reason` and `usage` of a finished one, `kv` of a read one."""
+        """Report the end of the attempt; outcome, detail and load as in `heathford.interface`.
+
+        answer: `reason` and `usage` of a finished attempt, `kv` (the KV transfer parameters) of a prefill.
+        """
 
 
 class Link(Protocol):
     """Carries attempts to engines.
 
-    late_reads: whether an engine may read an attempt long after it was sent, or was given up here. Where it
-    may, a repeat could run after the time for which its key is known. transfers: what is known of long sends.
+    may_read_late: whether an engine may read an attempt long after it was sent or given up here. Where it
+    may, a retry could run after the engines have forgotten its idempotency key. transfers: rates of long
+    sends.
     """
 
     may_read_late: bool
@@ -119,51 +133,63 @@
         endpoint: Endpoint,
         name: str,
         body: Any,
-        kv: Mapping[str, Any] | None,
-        mark: str,
+        kv_transfer_params: Mapping[str, Any] | None,
+        idempotency_key: str,
         timeout: float,
         events: CallEvents,
-    ) -> Call:
-        """Starts one dispatch, called `name` to the engine; `body`: what is asked, untouched by the core, as
-        the front and this link know it; `kv`: the read state that a writer takes up;
-        `mark`: by which a tokened repeat is known, or empty. Tells of nothing before it has returned."""
+    ) -> LinkCall:
+        """Start one attempt; no event is reported before this method has returned.
+
+        name: the attempt's name towards the engine. body: the request, which the core passes through between
+        front end and link. kv_transfer_params: where a decode engine fetches the prefill state, or None.
+        idempotency_key: empty if there is none. timeout: s.
+        """
 
     def release(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
-        """Lets go of the state that the dispatch `name` left, or may have left, at a reader. Where several
-        are called by one name, what is sent under it afterwards starts once this is through. Tells of nothing
-        before it has returned."""
+        """Release the state that the prefill attempt `name` left, or may have left, at a prefill engine.
+
+        Where attempts share a name, those sent afterwards under that name start once the release is done. No
+        event is reported before this method has returned.
+        """
 
     def last_received_at(self, endpoint: Endpoint) -> float:
-        """When anything came from that engine last, on any connection: s on the loop's clock, else -inf."""
+        """Return when bytes last came from that engine, in s on the loop's clock; -inf if never.
+
+        Counts all connections.
+        """
 
     def check_liveness(
-        self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
+        self, endpoint: Endpoint, name: str, within: float, on_result: Callable[[bool], None]
     ) -> None:
-        """Tells whether an engine answers anything within that many s; asked by a release of what is held for
-        `name`, which is being released in any case. Where a protocol has no such call the engine counts as
-        alive. Tells nothing before it has returned."""
+        """Check whether an engine answers anything within that many s.
+
+        Done by a release of what is held for `name`, which is being released in any case. An engine counts as
+        alive where the protocol has no such call. on_result is not called before this method has returned.
+        """
 
 
 class NoLivenessCheck:
-    """The part of a `Link` whose protocol has nothing to ask an engine for life with."""
+    """The liveness part of a `Link` whose protocol has no liveness check: every engine counts as alive."""
 
     def last_received_at(self, endpoint: Endpoint) -> float:
-        """Not followed."""
+        """Return -inf: not recorded."""
         return -inf
 
     def check_liveness(
-        self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
+        self, endpoint: Endpoint, name: str, within: float, on_result: Callable[[bool], None]
     ) -> None:
-        """Whoever is asked lives."""
-        asyncio.get_running_loop().call_soon(told, True)
+        """Report the engine as alive."""
+        asyncio.get_running_loop().call_soon(on_result, True)
 
 
 class Cancellable(Protocol):
+    """A timer that can be cancelled."""
+
     def cancel(self) -> None: ...
 
 
 class Loop(Protocol):
-    """The part of an event loop that the core uses; a test's own loop has it too."""
+    """The part of an event loop that the core uses; tests bring a loop with a simulated clock."""
 
     def time(self) -> float: ...
 
--- a/heathford/engines/__init__.py
+++ b/heathford/engines/__init__.py
@@ -1,1 +1,1 @@
-"""The link to engines: completions over HTTP/1.1 and server-sent events, each end told as one Verdict."""
+"""The link to engines: HTTP/1.1 and server-sent events; each attempt ends with one `Outcome`."""
--- a/heathford/engines/link.py
+++ b/heathford/engines/link.py
@@ -1,4 +1,4 @@
-"""Carries dispatches to engines over kept connections."""
+"""Carries attempts to engines over pooled HTTP/1.1 connections."""
 
 import asyncio
 import socket
@@ -13,24 +13,34 @@
 
 from heathford.core.protocols import Arrival, CallEvents, Endpoint, NoLivenessCheck, ReleaseEvents
 from heathford.core.tasks import Tasks
-from heathford.engines.answers import cached_tokens, chunk, load_of, read_answer, verdict_of
+from heathford.engines.answers import (
+    cached_tokens,
+    parse_event,
+    parse_load_report,
+    parse_prefill_answer,
+    failure_outcome,
+)
 from heathford.engines.pools import ConnectionPool, ConnectionPools
 from heathford.engines.release_retries import NO_ANSWER, ReleaseRetries
 from heathford.wire.http1 import EventStream, MalformedMessageError, Response, encode_request
 from heathford.interface import Role, Outcome
 from heathford.policy.transfer import TransferRates
 
-READ_BYTES = 65_536  # bytes read at once: a socket's buffer, so that one stream can't keep the others waiting
+READ_BYTES = 65_536  # at once: a socket buffer, so that one stream can't hold up the others
 
 log = structlog.get_logger()
 
 
 class EngineLink(NoLivenessCheck):
-    """connect_timeout, idle and stream_silence in s; connections at most for each engine; source: the local
-    address that connections are made from, or empty; pin_limit: s within which a state is released. tls: what
-    new connections are made with, if anything; an engine's certificate must name it as the list does."""
+    """A `Link` for engines that speak the OpenAI completions API.
 
-    may_read_late = True  # a close is no recall: a process reads what its machine has taken before it
+    connect_timeout: s. connections: at most, per engine. idle: s that an idle connection is kept.
+    stream_silence: s without a token after which a stream counts as dead. longest_line: bytes. pin_limit: s
+    within which prefill state has to be released. source: local address of connections, or empty. tls: for
+    new connections, if any; an engine's certificate must have the engine's name in the endpoint list.
+    """
+
+    may_read_late = True  # an engine can read what its kernel received before the connection was closed
 
     def __init__(
         self,
@@ -43,10 +53,10 @@
         source: str = "",
         tls: ssl.SSLContext | None = None,
     ) -> None:
-        self.connect_timeout, self.most = connect_timeout, connections
+        self.connect_timeout, self.max_connections = connect_timeout, connections
         self.stream_silence, self.longest_line, self.source = stream_silence, longest_line, source
         self.pin_limit, self.tls = pin_limit, tls
-        self.transfers = TransferRates()  # no deadline is told here: sends go on as long as they are wanted
+        self.transfers = TransferRates()  # stays empty: no deadline is sent here, and no send is cut short
         self.pools: ConnectionPools[IOStream] = ConnectionPools(idle, inf)
         self.tasks = Tasks("link")
         self.stopped = False
@@ -56,13 +66,15 @@
         endpoint: Endpoint,
         name: str,
         body: Mapping[str, Any],
-        kv: Mapping[str, Any] | None,
-        mark: str,
+        kv_transfer_params: Mapping[str, Any] | None,
+        idempotency_key: str,
         timeout: float,
         events: CallEvents,
     ) -> "HttpCall":
         call = HttpCall(self, endpoint, name, events)
-        self.tasks.spawn(call.run(encoded(endpoint, name, body, kv, mark), timeout))
+        self.tasks.spawn(
+            call.run(completion_request(endpoint, name, body, kv_transfer_params, idempotency_key), timeout)
+        )
         return call
 
     def release(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
@@ -70,27 +82,30 @@
 
     async def release_state(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
         loop = asyncio.get_running_loop()
-        tries = ReleaseRetries(loop.time(), self.pin_limit)
-        while (wait := tries.next_try(loop.time())) is not None:
+        retries = ReleaseRetries(loop.time(), self.pin_limit)
+        while (wait := retries.next_try_delay(loop.time())) is not None:
             if wait:
                 await asyncio.sleep(wait)
             events.requested(endpoint.name)
-            status = await self.delete(endpoint, name, tries.patience(loop.time()))
-            if tries.is_over(status):
+            status = await self.send_release(endpoint, name, retries.try_timeout(loop.time()))
+            if retries.confirms_release(status):
                 events.confirmed(endpoint.name)
                 return
             events.not_confirmed(endpoint.name, max(NO_ANSWER, status))
-        log.warning("state not let go", engine=endpoint.name, dispatch=name)
+        log.warning("prefill state not released", engine=endpoint.name, dispatch=name)
         events.failed()
 
-    async def delete(self, endpoint: Endpoint, name: str, patience: float) -> int:
-        """The status of the answer, or NO_ANSWER."""
+    async def send_release(self, endpoint: Endpoint, name: str, time_limit: float) -> int:
+        """Ask an engine once for the release; return the status of its answer, or NO_ANSWER.
+
+        time_limit: s.
+        """
         pool = self.pool(endpoint)
         stream = None
         try:
-            async with asyncio.timeout(patience):
+            async with asyncio.timeout(time_limit):
                 stream = await self.connection(endpoint, pool)
-                response = await self.delete_on(stream, endpoint, name)
+                response = await self.exchange_release(stream, endpoint, name)
         except (StreamClosedError, OSError, MalformedMessageError, TimeoutError):
             if stream:
                 self.drop(pool, stream)
@@ -98,8 +113,11 @@
         self.give_back(pool, stream, response.keep_alive)
         return response.status
 
-    async def delete_on(self, stream: IOStream, endpoint: Endpoint, name: str) -> Response:
-        """The whole answer. Raises StreamClosedError or MalformedMessageError."""
+    async def exchange_release(self, stream: IOStream, endpoint: Endpoint, name: str) -> Response:
+        """Return the whole answer to the release request.
+
+        Raises StreamClosedError or MalformedMessageError.
+        """
         await stream.write(encode_request("DELETE", f"/v1/kv_transfers/{name}", endpoint.address, {}, b""))
         response = Response(self.longest_line)
         while not response.done:
@@ -113,7 +131,10 @@
         return self.pools.pool(endpoint.address, endpoint.port)
 
     async def connection(self, endpoint: Endpoint, pool: ConnectionPool[IOStream]) -> IOStream:
-        """A kept one, or a new one. Raises OSError or StreamClosedError where none can be had."""
+        """Return an idle connection or a new one.
+
+        Raises OSError or StreamClosedError if the connection fails.
+        """
         stream = self.pools.take_idle(pool, asyncio.get_running_loop().time())
         if stream:
             stream.set_close_callback(None)
@@ -146,8 +167,8 @@
         now = asyncio.get_running_loop().time()
         self.pools.close_expired(now)
         self.pools.add_idle(pool, stream, now)
-        # An engine that closes a kept connection is seen at once: a dispatch written into a dead one
-        # may have run for all we know, and a completion that can't repeat would be lost by it.
+        # Notices at once when the engine closes the idle connection: an attempt written to a dead connection
+        # may have run, and a request that must not be retried would be lost.
         stream.set_close_callback(lambda: self.pools.remove(pool, stream))
 
     def drop(self, pool: ConnectionPool[IOStream], stream: IOStream) -> None:
@@ -161,7 +182,7 @@
 
 
 class HttpCall:
-    """One dispatch on its way: connect, send, answer. Ends once, with the first thing that ends it."""
+    """One attempt: connects, sends and receives the answer. The first thing that ends it counts."""
 
     def __init__(self, link: EngineLink, endpoint: Endpoint, name: str, events: CallEvents) -> None:
         self.link, self.endpoint, self.name, self.events = link, endpoint, name, events
@@ -169,7 +190,7 @@
         self.stream: IOStream | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.over = self.begun = False
-        self.heard = 0.0  # when the last token came
+        self.last_token_at = 0.0  # s on the loop's clock
         self.load: dict[str, float] = {}
 
     def cancel(self) -> None:
@@ -180,18 +201,18 @@
             self.end(Outcome.UNSENT)
 
     def is_progressing(self) -> bool:
-        """Not followed here."""
+        """Return False: the progress of sends is not recorded."""
         return False
 
     def give_up_unless_arrived(self) -> Arrival:
-        """Only what has no connection yet is known not to have arrived here."""
+        """End the attempt if it has no connection yet: only then is it known not to have arrived."""
         if self.stream is None:
             self.end(Outcome.UNREACHABLE)
             return Arrival.UNSENT
         return Arrival.ANSWERED if self.begun else Arrival.CONFIRMED
 
     def end(
-        self, verdict: Outcome, detail: int = 0, answer: Mapping[str, Any] | None = None, keep: bool = False
+        self, outcome: Outcome, detail: int = 0, answer: Mapping[str, Any] | None = None, keep: bool = False
     ) -> None:
         if self.over:
             return
@@ -203,24 +224,24 @@
                 self.link.give_back(self.pool, self.stream, True)
             else:
                 self.link.drop(self.pool, self.stream)
-        self.events.ended(verdict, detail, self.load, answer or {})
+        self.events.ended(outcome, detail, self.load, answer or {})
 
-    def expect(self, seconds: float, verdict: Outcome) -> None:
+    def set_timer(self, seconds: float, outcome: Outcome) -> None:
         if self.timer:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(seconds, self.end, verdict)
+        self.timer = asyncio.get_running_loop().call_later(seconds, self.end, outcome)
 
     async def run(self, data: bytes, timeout: float) -> None:
         loop = asyncio.get_running_loop()
         if self.over:
             return
         self.pool = self.link.pool(self.endpoint)
-        if self.pool.open - len(self.pool.idle) >= self.link.most:
-            # All our connections there are in use: nothing was sent, and for us this engine is full.
+        if self.pool.open - len(self.pool.idle) >= self.link.max_connections:
+            # All connections to this engine are in use, so nothing was sent.
             self.end(Outcome.NO_FREE_CONNECTION)
             return
         until = loop.time() + timeout
-        self.expect(min(timeout, self.link.connect_timeout), Outcome.UNREACHABLE)
+        self.set_timer(min(timeout, self.link.connect_timeout), Outcome.UNREACHABLE)
         try:
             stream = await self.link.connection(self.endpoint, self.pool)
         except (StreamClosedError, OSError):
@@ -231,17 +252,17 @@
             self.end(Outcome.UNSENT)
             return
         self.stream = stream
-        self.expect(until - loop.time(), Outcome.TIMED_OUT)
+        self.set_timer(until - loop.time(), Outcome.TIMED_OUT)
         try:
             await stream.write(data)
-            await self.answer(stream)
+            await self.receive_answer(stream)
         except StreamClosedError:
             self.end(Outcome.BROKEN)
         except MalformedMessageError as problem:
-            log.warning("nonsense from an engine", engine=self.endpoint.name, what=str(problem))
+            log.warning("malformed answer from an engine", engine=self.endpoint.name, what=str(problem))
             self.end(Outcome.ERROR)
 
-    async def answer(self, stream: IOStream) -> None:
+    async def receive_answer(self, stream: IOStream) -> None:
         response = Response(self.link.longest_line)
         events = EventStream(self.link.longest_line)
         body = bytearray()
@@ -255,30 +276,32 @@
                 if response.status != 200 or "event-stream" not in response.headers.get("content-type", ""):
                     body += part
                     if len(body) > 16 * self.link.longest_line:
-                        raise MalformedMessageError("an answer too long")
+                        raise MalformedMessageError("answer too long")
                     continue
                 for event in events.feed(part):
                     if event == b"[DONE]":
                         finished = True
                         continue
-                    text, its_reason, its_usage = chunk(event)
-                    reason, usage = its_reason or reason, {**its_usage} or usage
+                    text, event_reason, event_usage = parse_event(event)
+                    reason, usage = event_reason or reason, {**event_usage} or usage
                     if text:
-                        self.token(text)
+                        self.on_token(text)
                     if self.over:
                         return
         if response.status != 200:
-            self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
-            verdict, detail = verdict_of(response.status, bytes(body))
-            self.end(verdict, detail, keep=response.keep_alive)
+            self.load = parse_load_report(response.headers.get("endpoint-load-metrics", ""))
+            outcome, detail = failure_outcome(response.status, bytes(body))
+            self.end(outcome, detail, keep=response.keep_alive)
         elif self.endpoint.role is Role.PREFILL:
-            self.load = load_of(response.headers.get("endpoint-load-metrics", ""))
-            found, kv = read_answer(bytes(body))
-            self.end(Outcome.PREFILLED, found, {"kv": kv}, keep=response.keep_alive)
+            self.load = parse_load_report(response.headers.get("endpoint-load-metrics", ""))
+            cached, kv_transfer_params = parse_prefill_answer(bytes(body))
+            self.end(Outcome.PREFILLED, cached, {"kv": kv_transfer_params}, keep=response.keep_alive)
         elif not finished or not self.begun:
-            raise MalformedMessageError("a stream that ends without saying so" if self.begun else "no stream")
+            raise MalformedMessageError(
+                "stream ended without [DONE]" if self.begun else "no stream in the answer"
+            )
         else:
-            self.load = load_of(response.trailers.get("endpoint-load-metrics", ""))
+            self.load = parse_load_report(response.trailers.get("endpoint-load-metrics", ""))
             self.end(
                 Outcome.FINISHED,
                 cached_tokens(usage),
@@ -286,35 +309,40 @@
                 keep=response.keep_alive,
             )
 
-    def token(self, text: str) -> None:
-        self.heard = asyncio.get_running_loop().time()
+    def on_token(self, text: str) -> None:
+        self.last_token_at = asyncio.get_running_loop().time()
         if not self.begun:
             self.begun = True
             self.events.first_token()
             if not self.over:
-                self.watch_silence(self.link.stream_silence)
+                self.schedule_silence_check(self.link.stream_silence)
         self.events.tokens(text)
 
-    def watch_silence(self, seconds: float) -> None:
-        """One timer that looks again, not one a token: timers were a sixth of what a stream cost."""
+    def schedule_silence_check(self, seconds: float) -> None:
+        """Schedule one check for the whole stream: a timer per token would be a sixth of a stream's cost."""
         if self.timer:
             self.timer.cancel()
-        self.timer = asyncio.get_running_loop().call_later(seconds, self.look_for_silence)
+        self.timer = asyncio.get_running_loop().call_later(seconds, self.check_silence)
 
-    def look_for_silence(self) -> None:
-        left = self.heard + self.link.stream_silence - asyncio.get_running_loop().time()
+    def check_silence(self) -> None:
+        left = self.last_token_at + self.link.stream_silence - asyncio.get_running_loop().time()
         if left <= 0.0:
             self.end(Outcome.TIMED_OUT)
         elif not self.over:
-            self.watch_silence(left)
+            self.schedule_silence_check(left)
 
 
-def encoded(
-    endpoint: Endpoint, name: str, body: Mapping[str, Any], kv: Mapping[str, Any] | None, mark: str
+def completion_request(
+    endpoint: Endpoint,
+    name: str,
+    body: Mapping[str, Any],
+    kv_transfer_params: Mapping[str, Any] | None,
+    idempotency_key: str,
 ) -> bytes:
+    """Return the encoded HTTP request of an attempt: a prefill, or a stream for the other roles."""
     headers = {"X-Request-Id": name}
-    if mark:
-        headers["Idempotency-Key"] = mark
+    if idempotency_key:
+        headers["Idempotency-Key"] = idempotency_key
     if endpoint.role is Role.PREFILL:
         more: dict[str, Any] = {
             "max_tokens": 1,
@@ -323,8 +351,8 @@
         }
     else:
         more = {"stream": True, "stream_options": {"include_usage": True}}
-        if kv is not None:
-            more["kv_transfer_params"] = kv
+        if kv_transfer_params is not None:
+            more["kv_transfer_params"] = kv_transfer_params
     return encode_request(
         "POST", "/v1/completions", endpoint.address, headers, orjson.dumps({**body, **more})
     )
--- a/heathford/engines/pools.py
+++ b/heathford/engines/pools.py
@@ -1,4 +1,4 @@
-"""Kept connections by the address they lead to; no I/O of its own."""
+"""Pools of connections by address; no I/O of its own."""
 
 from collections import deque
 from math import inf
@@ -8,6 +8,8 @@
 
 
 class Closable(Protocol):
+    """A connection, as far as the pools use it."""
+
     def closed(self) -> bool: ...
 
     def close(self) -> None: ...
@@ -17,37 +19,48 @@
 
 
 class ConnectionPool(Generic[C]):
-    """Connections to one address: those idle, newest last, with when they became so; a count of all."""
+    """The connections to one address.
+
+    idle: with the time since when, the latest last. open: number of all. last_received_at: when bytes last
+    came on one of them. Times are s on the loop's clock.
+    """
 
     def __init__(self, address: Address) -> None:
         self.address = address
         self.idle: deque[tuple[C, float]] = deque()
         self.open = 0
-        self.last_received_at = -inf  # when anything came on one of them last; s on the loop's clock
+        self.last_received_at = -inf
 
 
 class ConnectionPools(Generic[C]):
-    """idle_life: s for which an idle connection is used again; settled: s for which it is not, yet; most:
-    connections in all, by which room is made for a new one; urgent: how many of these are kept back."""
+    """Connection pools by address, with a limit on all connections together.
+
+    max_idle_time: s after which an idle connection is not used again. reuse_delay: s after a request before a
+    connection is used again. max_connections: in all; a new one beyond them replaces the one idle for
+    longest. reserved: how many of these are kept for urgent use.
+    """
 
     def __init__(
-        self, max_idle_time: float, max_connections: float, reuse_delay: float = 0.0, urgent: float = 0.0
+        self, max_idle_time: float, max_connections: float, reuse_delay: float = 0.0, reserved: float = 0.0
     ) -> None:
         self.max_idle_time, self.max_connections, self.reuse_delay, self.reserved = (
             max_idle_time,
             max_connections,
             reuse_delay,
-            urgent,
+            reserved,
         )
         self.pools: dict[Address, ConnectionPool[C]] = {}
         self.open = 0
 
     def pool(self, address: str, port: int) -> ConnectionPool[C]:
-        """To be asked for anew before each opening: one without connections is not kept."""
+        """Return the pool of an address.
+
+        Call it again before each new connection, as a pool without connections is forgotten.
+        """
         return self.pools.get((address, port)) or ConnectionPool((address, port))
 
     def take_idle(self, pool: ConnectionPool[C], now: float) -> C | None:
-        """The one used last, which is the least likely to be closed from the other side."""
+        """Return the connection used last, the least likely to be closed by the engine, or None."""
         fresh = []
         found = None
         while pool.idle and not found:
@@ -62,7 +75,10 @@
         return found
 
     def reserve(self, pool: ConnectionPool[C], urgent: bool = False) -> bool:
-        """Counts a new connection, if there is room for one or an idle one can make way."""
+        """Count a new connection; return False if there are too many and none of them is idle.
+
+        Closes the connection that has been idle for longest where the limit is reached.
+        """
         if self.open >= (self.max_connections if urgent else self.max_connections - self.reserved):
             oldest = min((p for p in self.pools.values() if p.idle), key=lambda p: p.idle[0][1], default=None)
             if oldest is None:
@@ -77,13 +93,16 @@
         pool.idle.append((connection, now))
 
     def addresses_by_last_received(self) -> list[Address]:
-        """Of those with a connection on which anything has come, the one that was heard last first."""
+        """Return the addresses with a connection that has received bytes, the latest first."""
         heard = [pool for pool in self.pools.values() if pool.last_received_at > -inf]
         return [pool.address for pool in sorted(heard, key=lambda pool: -pool.last_received_at)]
 
     def remove(self, pool: ConnectionPool[C], connection: C | None) -> None:
-        """Called once for each that was opened. Nothing is left of an address without connections: engines
-        come and go under new ones, and a map of all that ever were would grow for as long as a front runs."""
+        """Forget a connection; called once for each that was reserved.
+
+        An address without connections is forgotten, too: engines come and go under new addresses, and a map
+        of all of them would grow for as long as the process runs.
+        """
         pool.open -= 1
         self.open -= 1
         if connection is not None:
@@ -97,8 +116,10 @@
                 connection.close()
 
     def close_expired(self, now: float) -> None:
-        """Closes what idles too long. Guards against connections to engines that vanished: they stay open
-        for good, and each takes a descriptor."""
+        """Close connections that have been idle for too long.
+
+        Those to engines that vanished would stay open forever, and each takes a descriptor.
+        """
         for pool in list(self.pools.values()):
             while pool.idle and now - pool.idle[0][1] >= self.max_idle_time:
                 pool.idle.popleft()[0].close()
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -39,10 +39,10 @@
     assert [o.engine[:2] for o in i.link.attempts] == ["e1", "e1"] and i.link.released == []
 
 
-@pytest.mark.parametrize("verdict", [Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
-def test_a_stream_that_breaks_is_aborted_and_not_sent_again(core_harness: New, verdict: Outcome) -> None:
+@pytest.mark.parametrize("outcome", [Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
+def test_a_stream_that_breaks_is_aborted_and_not_sent_again(core_harness: New, outcome: Outcome) -> None:
     i, client, _ = streaming(core_harness)
-    i.link.attempts[-1].events.ended(verdict, 0, {}, {})
+    i.link.attempts[-1].events.ended(outcome, 0, {}, {})
     i.loop.pass_time(10.0)
     assert len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(i.link.attempts) == 2
     assert not i.core.live
@@ -300,7 +300,7 @@
     core = i.core
     left = [o for o in gc.get_objects() if isinstance(o, RequestState) and o.router is core.router]
     held = [o for o in gc.get_objects() if isinstance(o, AcceptedRequest) and o.core is core]
-    sent = [o for o in gc.get_objects() if isinstance(o, EngineAttempt) and o.taken.core is core]
+    sent = [o for o in gc.get_objects() if isinstance(o, EngineAttempt) and o.request.core is core]
     assert len(left) + len(held) + len(sent) <= 10
     assert len(core.endpoints) <= 6 and len(core.router.engines) <= 6
     assert not any(
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -10,25 +10,25 @@
     GateAttempt,
     Event,
     Gate,
-    Place,
+    FixedTarget,
     Reason,
-    RequestLife,
+    RequestLifecycle,
     Rule,
     Stage,
     Target,
 )
 from heathford.interface import STALL_ALLOWANCE, NEVER_RAN, Effect, Group, Health, Outcome, Workload
 
-HERE = Place(Health.ON, zone=0, cell=0)
-SAME_ZONE = Place(Health.ON, zone=0, cell=1)
-ELSEWHERE = Place(Health.ON, zone=1, cell=2)
-NO_CELLS = Place(Health.ON, zone=1, cell=0)  # in another zone, and told as of the same cell
+HERE = FixedTarget(Health.ON, zone=0, cell=0)
+SAME_ZONE = FixedTarget(Health.ON, zone=0, cell=1)
+ELSEWHERE = FixedTarget(Health.ON, zone=1, cell=2)
+NO_CELLS = FixedTarget(Health.ON, zone=1, cell=0)  # in another zone, and told as of the same cell
 WINDOW = 2.0  # s
 OVER = (Stage.ANSWERED, Stage.LEFT)
 
 
-def life_of(effect: Effect = Effect.IDEMPOTENT, group: Group = Group.ALL) -> RequestLife:
-    return RequestLife("c0", Workload(1.0, 0.0, 0.05, effect, group, WINDOW, 1.0), Stage.WAITING)
+def life_of(effect: Effect = Effect.IDEMPOTENT, group: Group = Group.ALL) -> RequestLifecycle:
+    return RequestLifecycle("c0", Workload(1.0, 0.0, 0.05, effect, group, WINDOW, 1.0), Stage.WAITING)
 
 
 class Watched:
@@ -41,11 +41,11 @@
 
 @pytest.mark.parametrize("stage, event", list(product(Stage, Event)))
 def test_each_step_is_taken_or_counted(stage: Stage, event: Event, no_violations: list[str]) -> None:
-    watched, life = Watched(), life_of()
-    life.stage = stage
-    allowed = watched.gate.step(life, event)
+    watched, lifecycle = Watched(), life_of()
+    lifecycle.stage = stage
+    allowed = watched.gate.transition(lifecycle, event)
     assert allowed == ((stage, event) in TRANSITIONS)
-    assert life.stage is (TRANSITIONS[stage, event] if allowed else stage)
+    assert lifecycle.stage is (TRANSITIONS[stage, event] if allowed else stage)
     assert len(watched.told) == (not allowed) == watched.gate.violations.total()
     no_violations.clear()
 
@@ -56,11 +56,11 @@
 
 @pytest.mark.parametrize("stage", list(Stage))
 def test_an_attempt_begins_only_where_it_waits_for_that(stage: Stage) -> None:
-    watched, life = Watched(), life_of()
-    life.stage = stage
+    watched, lifecycle = Watched(), life_of()
+    lifecycle.stage = stage
     attempt = GateAttempt(HERE, False, 0.0)
-    life.attempts.append(attempt)
-    reason = watched.gate.may_send(life, attempt, HERE, True, 0.0)
+    lifecycle.attempts.append(attempt)
+    reason = watched.gate.may_send_first_byte(lifecycle, attempt, HERE, True, 0.0)
     assert reason is (Reason.ALLOWED if stage is Stage.WAITING else Reason.OVER)
 
 
@@ -76,21 +76,23 @@
 def test_the_engine_and_the_client_are_asked_at_the_last_moment(
     health: Health, waits: bool, reason: Reason
 ) -> None:
-    watched, life = Watched(), life_of()
+    watched, lifecycle = Watched(), life_of()
     attempt = GateAttempt(HERE, True, 0.0)
-    life.attempts.append(attempt)
-    assert watched.gate.may_send(life, attempt, Place(health, 0, 0), waits, 0.0) is reason
+    lifecycle.attempts.append(attempt)
+    assert (
+        watched.gate.may_send_first_byte(lifecycle, attempt, FixedTarget(health, 0, 0), waits, 0.0) is reason
+    )
     assert watched.told == []
 
 
-@pytest.mark.parametrize("verdict", list(Outcome))
+@pytest.mark.parametrize("outcome", list(Outcome))
 @pytest.mark.parametrize("effect", list(Effect))
 def test_a_repeat_is_allowed_by_effect_and_by_what_the_earlier_one_may_have_done(
-    effect: Effect, verdict: Outcome, no_violations: list[str]
+    effect: Effect, outcome: Outcome, no_violations: list[str]
 ) -> None:
-    watched, life = Watched(), life_of(effect)
-    life.attempts = [GateAttempt(HERE, False, 0.0, verdict), GateAttempt(HERE, False, 0.1)]
-    never_ran = verdict in (
+    watched, lifecycle = Watched(), life_of(effect)
+    lifecycle.attempts = [GateAttempt(HERE, False, 0.0, outcome), GateAttempt(HERE, False, 0.1)]
+    never_ran = outcome in (
         Outcome.FULL,
         Outcome.UNREACHABLE,
         Outcome.UNSENT,
@@ -98,19 +100,22 @@
         Outcome.NO_FREE_CONNECTION,
     )
     allowed = never_ran or effect is not Effect.NON_IDEMPOTENT
-    reason = watched.gate.may_send(life, life.attempts[1], HERE, True, 0.2)
+    reason = watched.gate.may_send_first_byte(lifecycle, lifecycle.attempts[1], HERE, True, 0.2)
     assert reason is (Reason.ALLOWED if allowed else Reason.MAY_HAVE_RUN)
     refusable = allowed
-    life.attempts[1].verdict = Outcome.UNSENT
-    assert (watched.gate.may_answer_refused(life) is Reason.ALLOWED) == refusable
+    lifecycle.attempts[1].outcome = Outcome.UNSENT
+    assert (watched.gate.may_answer_rate_limited(lifecycle) is Reason.ALLOWED) == refusable
     assert watched.told == [] if allowed else [Rule.NO_EFFECT_TWICE] * 2
     no_violations.clear()
 
 
 def test_a_second_attempt_beside_one_that_is_out_is_a_violation(no_violations: list[str]) -> None:
-    watched, life = Watched(), life_of()
-    life.attempts = [GateAttempt(HERE, True, 0.0), GateAttempt(HERE, True, 0.1)]
-    assert watched.gate.may_send(life, life.attempts[1], HERE, True, 0.1) is Reason.ANOTHER_OUT
+    watched, lifecycle = Watched(), life_of()
+    lifecycle.attempts = [GateAttempt(HERE, True, 0.0), GateAttempt(HERE, True, 0.1)]
+    assert (
+        watched.gate.may_send_first_byte(lifecycle, lifecycle.attempts[1], HERE, True, 0.1)
+        is Reason.ANOTHER_OUT
+    )
     assert watched.told == [Rule.NO_EFFECT_TWICE]
     no_violations.clear()
 
@@ -124,21 +129,21 @@
     ],
 )
 def test_the_window_allows_for_a_hold_up(now: float, reason: Reason) -> None:
-    watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED)
-    life.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(HERE, False, 0.1)]
-    assert watched.gate.may_send(life, life.attempts[1], HERE, True, now) is reason
+    watched, lifecycle = Watched(), life_of(Effect.IDEMPOTENCY_KEYED)
+    lifecycle.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(HERE, False, 0.1)]
+    assert watched.gate.may_send_first_byte(lifecycle, lifecycle.attempts[1], HERE, True, now) is reason
 
 
-@pytest.mark.parametrize("verdict", list(Outcome))
+@pytest.mark.parametrize("outcome", list(Outcome))
 @pytest.mark.parametrize("effect", list(Effect))
 def test_no_keyed_repeat_after_an_attempt_that_may_have_run_where_engines_may_read_late(
-    effect: Effect, verdict: Outcome, no_violations: list[str]
+    effect: Effect, outcome: Outcome, no_violations: list[str]
 ) -> None:
     """Guards against a repeat that its engine reads when the key is known no more."""
-    watched, life = Watched(keyed_repeats=False), life_of(effect)
-    life.attempts = [GateAttempt(HERE, False, 0.0, verdict), GateAttempt(HERE, False, 0.1)]
-    allowed = verdict in NEVER_RAN or effect is Effect.IDEMPOTENT
-    reason = watched.gate.may_send(life, life.attempts[1], HERE, True, 0.2)
+    watched, lifecycle = Watched(keyed_repeats=False), life_of(effect)
+    lifecycle.attempts = [GateAttempt(HERE, False, 0.0, outcome), GateAttempt(HERE, False, 0.1)]
+    allowed = outcome in NEVER_RAN or effect is Effect.IDEMPOTENT
+    reason = watched.gate.may_send_first_byte(lifecycle, lifecycle.attempts[1], HERE, True, 0.2)
     assert reason is (Reason.ALLOWED if allowed else Reason.MAY_HAVE_RUN)
     assert watched.told == [] if allowed else [Rule.NO_EFFECT_TWICE]
     no_violations.clear()
@@ -159,9 +164,9 @@
 def test_a_repeat_stays_in_its_group(
     group: Group, target: Target, reason: Reason, no_violations: list[str]
 ) -> None:
-    watched, life = Watched(), life_of(Effect.IDEMPOTENCY_KEYED, group)
-    life.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(target, False, 0.1)]
-    assert watched.gate.may_send(life, life.attempts[1], target, True, 0.2) is reason
+    watched, lifecycle = Watched(), life_of(Effect.IDEMPOTENCY_KEYED, group)
+    lifecycle.attempts = [GateAttempt(HERE, False, 0.0, Outcome.BROKEN), GateAttempt(target, False, 0.1)]
+    assert watched.gate.may_send_first_byte(lifecycle, lifecycle.attempts[1], target, True, 0.2) is reason
     no_violations.clear()
 
 
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -28,7 +28,7 @@
     monkeypatch.setattr(RecordedAttempt, "give_up_unless_arrived", lambda out: found)
     i, name = read(core_harness)
     i.loop.pass_time(0.13)
-    assert f"look for arrival: {found.name}" in i.core.history.told(name)
+    assert f"look for arrival: {found.name}" in i.core.history.event_lines(name)
 
 
 def test_each_step_of_a_release_is_told_with_its_engine(core_harness: Callable[..., CoreHarness]) -> None:
@@ -40,7 +40,7 @@
     release.not_confirmed("e10", 0)
     release.requested("e12")
     release.confirmed("e12")
-    assert [line for line in i.core.history.told(name) if line.startswith("release")] == [
+    assert [line for line in i.core.history.event_lines(name) if line.startswith("release")] == [
         "release: the policy lets it go",
         "release asked",
         "release unanswered: no answer",
@@ -59,7 +59,7 @@
     _, taken = i.take()
     i.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
     i.loop.turn()
-    assert "release: its prefill attempt ended unseen" in i.core.history.told(taken.name)
+    assert "release: its prefill attempt ended unseen" in i.core.history.event_lines(taken.name)
     i.link.releases[0].failed()
     assert i.core.held_state_summary()["unconfirmed"] == 1
 
@@ -79,4 +79,4 @@
     i.engines((10, 0))
     client, taken = i.take()
     assert client.finals == ["rate-limited"]
-    assert i.core.history.told(taken.name)[-1] == "rate_limited: no listed engine may take it"
+    assert i.core.history.event_lines(taken.name)[-1] == "rate_limited: no listed engine may take it"
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Every way in which an engine can end a dispatch maps to one verdict, over loopback."""
+"""Every way in which an engine can end a dispatch maps to one outcome, over loopback."""
 
 import asyncio
 import socket
@@ -12,7 +12,7 @@
 from heathford.core.core import Core
 from heathford.core.protocols import Endpoint
 from heathford.engines.link import EngineLink
-from heathford.engines.release_retries import TRIES, ReleaseRetries
+from heathford.engines.release_retries import MAX_TRIES, ReleaseRetries
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
 
 HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
@@ -35,7 +35,7 @@
 
     def __init__(self) -> None:
         self.events: list[str] = []
-        self.verdict: Outcome | None = None
+        self.outcome: Outcome | None = None
         self.detail = -1
         self.load: Mapping[str, float] = {}
         self.over = asyncio.Event()
@@ -54,10 +54,10 @@
         self.events.append(text)
 
     def ended(
-        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, outcome: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
-        assert self.verdict is None
-        self.verdict, self.detail, self.load = verdict, detail, load
+        assert self.outcome is None
+        self.outcome, self.detail, self.load = outcome, detail, load
         self.over.set()
 
 
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "says, then, verdict, detail",
+    "says, then, outcome, detail",
     [
         (GOOD, "close", Outcome.FINISHED, 4),
         (GOOD, "keep", Outcome.FINISHED, 4),
@@ -168,15 +168,15 @@
         (whole(410, b"[]"), "keep", Outcome.ERROR, 0),
     ],
 )
-def test_one_verdict_for_every_end(says: bytes, then: str, verdict: Outcome, detail: int) -> None:
+def test_one_verdict_for_every_end(says: bytes, then: str, outcome: Outcome, detail: int) -> None:
     seen = play(says, then)
-    assert (seen.verdict, seen.detail) == (verdict, detail)
-    if verdict is Outcome.FINISHED:
+    assert (seen.outcome, seen.detail) == (outcome, detail)
+    if outcome is Outcome.FINISHED:
         assert seen.events == ["first", " a", " a"] and seen.load == {"memory": 0.5, "queue": 3.0}
 
 
 @pytest.mark.parametrize(
-    "says, verdict, detail",
+    "says, outcome, detail",
     [
         (whole(200, READ, LOAD), Outcome.PREFILLED, 7),
         (whole(200, b"{}"), Outcome.ERROR, 0),
@@ -184,15 +184,15 @@
         (whole(503, b""), Outcome.FULL, 0),
     ],
 )
-def test_reads(says: bytes, verdict: Outcome, detail: int) -> None:
+def test_reads(says: bytes, outcome: Outcome, detail: int) -> None:
     seen = play(says, "keep", Role.PREFILL)
-    assert (seen.verdict, seen.detail) == (verdict, detail)
-    assert verdict is not Outcome.PREFILLED or seen.load == {"memory": 0.5, "queue": 3.0}
+    assert (seen.outcome, seen.detail) == (outcome, detail)
+    assert outcome is not Outcome.PREFILLED or seen.load == {"memory": 0.5, "queue": 3.0}
 
 
 def test_a_cancel_closes_the_connection_and_ends_it_once() -> None:
     seen = play(HEAD + chunked(TOKEN)[:-5], "silence", timeout=5.0, cancel=True)
-    assert seen.verdict is Outcome.CANCELLED
+    assert seen.outcome is Outcome.CANCELLED
 
 
 def test_connections_are_kept_and_bounded() -> None:
@@ -212,7 +212,7 @@
         await first.begun.wait()
         the_link.send(endpoint, "c.1", {}, None, "", 5.0, second)
         await second.over.wait()
-        assert second.verdict is Outcome.NO_FREE_CONNECTION and len(engine.heads) == 4
+        assert second.outcome is Outcome.NO_FREE_CONNECTION and len(engine.heads) == 4
         call.cancel()
         server.close()
 
@@ -232,20 +232,20 @@
             pool = the_link.pool(endpoint)
             while pool.idle:  # until the close is seen here too
                 await asyncio.sleep(0)
-            assert seen.verdict is Outcome.FINISHED and pool.open == 0
+            assert seen.outcome is Outcome.FINISHED and pool.open == 0
         server.close()
 
     asyncio.run(run())
 
 
-@pytest.mark.parametrize("answers, tries", [([204], 1), ([404], 1), ([0, 0, 204], 3), ([500] * 9, TRIES)])
+@pytest.mark.parametrize("answers, tries", [([204], 1), ([404], 1), ([0, 0, 204], 3), ([500] * 9, MAX_TRIES)])
 def test_a_state_is_let_go_within_its_limit(answers: list[int], tries: int) -> None:
     now, said = 10.0, 0
     letting = ReleaseRetries(now, 0.3)
-    while (wait := letting.next_try(now)) is not None:
-        now += wait + letting.patience(now + wait) * 0.9
+    while (wait := letting.next_try_delay(now)) is not None:
+        now += wait + letting.try_timeout(now + wait) * 0.9
         said += 1
-        if letting.is_over(answers[said - 1]):
+        if letting.confirms_release(answers[said - 1]):
             break
     assert said == tries and now <= 10.3
 
@@ -336,8 +336,8 @@
             await asyncio.sleep(step)
         the_link.stop()
         server.close()
-        assert seen.verdict is not None
-        verdicts.append(seen.verdict)
+        assert seen.outcome is not None
+        verdicts.append(seen.outcome)
 
     asyncio.run(run())
     assert verdicts == [Outcome.PREFILLED]
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -57,19 +57,19 @@
 
 
 @pytest.mark.parametrize(
-    "verdict", [Outcome.UNARRIVED, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.NO_FREE_CONNECTION]
+    "outcome", [Outcome.UNARRIVED, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.NO_FREE_CONNECTION]
 )
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_attempts_that_reach_nobody_do_not_restart_the_clock(
     core_harness: Callable[..., CoreHarness],
     monkeypatch: pytest.MonkeyPatch,
     effect: Effect,
-    verdict: Outcome,
+    outcome: Outcome,
 ) -> None:
     """Each attempt is given up when the core looks."""
 
     def look(out: RecordedAttempt) -> Arrival:
-        out.events.ended(verdict, 0, {}, {})
+        out.events.ended(outcome, 0, {}, {})
         return Arrival.UNSENT
 
     monkeypatch.setattr(RecordedAttempt, "give_up_unless_arrived", look)
@@ -190,28 +190,28 @@
     assert i.core.tally.finished == 1
 
 
-@pytest.mark.parametrize("verdict", [Outcome.FULL, Outcome.ERROR])
+@pytest.mark.parametrize("outcome", [Outcome.FULL, Outcome.ERROR])
 def test_what_an_engine_itself_answers_restarts_the_clock(
-    core_harness: Callable[..., CoreHarness], verdict: Outcome
+    core_harness: Callable[..., CoreHarness], outcome: Outcome
 ) -> None:
     i = behind_attempt(core_harness, Effect.IDEMPOTENT)
     i.loop.pass_time(0.2)
-    i.link.attempts[-1].events.ended(verdict, 0, {}, {})
+    i.link.attempts[-1].events.ended(outcome, 0, {}, {})
     i.loop.pass_time(DUE - 0.01)
     assert i.link.released == [] and len(i.link.attempts) == 3
     i.loop.pass_time(0.02)
     assert len(i.link.released) == 1
 
 
-@pytest.mark.parametrize("verdict", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED])
+@pytest.mark.parametrize("outcome", [Outcome.TIMED_OUT, Outcome.BROKEN, Outcome.CANCELLED])
 @pytest.mark.parametrize("after", [0.13, 0.3])
 def test_an_attempt_that_lasts_and_says_nothing_does_not_restart_the_clock(
-    core_harness: Callable[..., CoreHarness], verdict: Outcome, after: float
+    core_harness: Callable[..., CoreHarness], outcome: Outcome, after: float
 ) -> None:
     """Three attempts in a row at stopped engines: each had lasted past the look, and held the state anew."""
     i = behind_attempt(core_harness, Effect.IDEMPOTENT)
     i.loop.pass_time(after)
-    i.link.attempts[-1].events.ended(verdict, 0, {}, {})
+    i.link.attempts[-1].events.ended(outcome, 0, {}, {})
     i.loop.turn()
     assert i.link.released == [i.link.attempts[0].name]
 
@@ -460,19 +460,19 @@
 
 
 @pytest.mark.parametrize(
-    "verdict, detail",
+    "outcome, detail",
     [(Outcome.FULL, 0), (Outcome.FULL, 1), (Outcome.ERROR, 0), (Outcome.TIMED_OUT, 0), (Outcome.BROKEN, 0)],
 )
 @pytest.mark.parametrize("effect", [Effect.IDEMPOTENT, Effect.NON_IDEMPOTENT])
 def test_what_a_release_left_to_an_attempt_is_released_when_that_ends(
-    core_harness: Callable[..., CoreHarness], effect: Effect, verdict: Outcome, detail: int
+    core_harness: Callable[..., CoreHarness], effect: Effect, outcome: Outcome, detail: int
 ) -> None:
     """A release leaves what an attempt waits for that has arrived; the attempt may end without taking it.
     Seen in the simulator: pinned on three of four days."""
     i = behind_attempt(core_harness, effect)
     i.loop.pass_time(DUE + 0.01)
     assert len(i.link.released) == 1
-    i.link.attempts[1].events.ended(verdict, detail, {}, {})
+    i.link.attempts[1].events.ended(outcome, detail, {}, {})
     i.loop.turn()
     assert len(i.link.released) == 2 and i.core.held_state_summary()["released"] == 2
 
