--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -1,4 +1,4 @@
-"""What the core owns: one final answer, the life of a stream, and what a failed decision leaves behind."""
+"""The core: one final answer per request, the limits of a stream, and the cleanup after a failed decision."""
 
 import gc
 from collections.abc import Callable
@@ -12,296 +12,322 @@
 from heathford.interface import Effect, Health, Outcome
 from heathford.policy import RequestState
 
-New = Callable[..., CoreHarness]
+MakeHarness = Callable[..., CoreHarness]
 FLEET = ((10, 0), (12, 1), (13, 1))
 
 
-def streaming(new: New, **more: Any) -> tuple[CoreHarness, Any, Any]:
-    i = new(**more)
-    i.engines(*FLEET)
-    client, taken = i.take()
-    i.read()
-    out = i.link.attempts[-1]
-    assert out.kv == {"remote_request_id": i.link.attempts[0].name}
-    out.events.first_token()
-    out.events.tokens("a")
-    i.loop.turn()
-    return i, client, taken
+def streaming_request(make_harness: MakeHarness, **more: Any) -> tuple[CoreHarness, Any, Any]:
+    harness = make_harness(**more)
+    harness.engines(*FLEET)
+    client, request = harness.take()
+    harness.read()
+    attempt = harness.link.attempts[-1]
+    assert attempt.kv == {"remote_request_id": harness.link.attempts[0].name}
+    attempt.events.first_token()
+    attempt.events.tokens("a")
+    harness.loop.turn()
+    return harness, client, request
 
 
-def test_a_completion_goes_reader_then_writer_and_finishes_once(core_harness: New) -> None:
-    i, client, _ = streaming(core_harness)
-    out = i.link.attempts[-1]
-    out.events.ended(Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {}})
-    out.events.ended(Outcome.BROKEN, 0, {}, {})
-    i.loop.pass_time(10.0)
-    assert client.finals == ["finished"] and client.text == ["a"] and not i.core.live
-    assert [o.engine[:2] for o in i.link.attempts] == ["e1", "e1"] and i.link.released == []
+def test_a_request_runs_prefill_then_decode_and_finishes_once(core_harness: MakeHarness) -> None:
+    harness, client, _ = streaming_request(core_harness)
+    attempt = harness.link.attempts[-1]
+    attempt.events.ended(Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {}})
+    attempt.events.ended(Outcome.BROKEN, 0, {}, {})
+    harness.loop.pass_time(10.0)
+    assert client.finals == ["finished"] and client.text == ["a"] and not harness.core.live
+    assert [o.engine[:2] for o in harness.link.attempts] == ["e1", "e1"] and harness.link.released == []
 
 
 @pytest.mark.parametrize("outcome", [Outcome.BROKEN, Outcome.TIMED_OUT, Outcome.ERROR])
-def test_a_stream_that_breaks_is_aborted_and_not_sent_again(core_harness: New, outcome: Outcome) -> None:
-    i, client, _ = streaming(core_harness)
-    i.link.attempts[-1].events.ended(outcome, 0, {}, {})
-    i.loop.pass_time(10.0)
-    assert len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(i.link.attempts) == 2
-    assert not i.core.live
+def test_a_broken_stream_is_aborted_and_not_retried(core_harness: MakeHarness, outcome: Outcome) -> None:
+    harness, client, _ = streaming_request(core_harness)
+    harness.link.attempts[-1].events.ended(outcome, 0, {}, {})
+    harness.loop.pass_time(10.0)
+    assert (
+        len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(harness.link.attempts) == 2
+    )
+    assert not harness.core.live
 
 
-def test_a_stream_past_its_limit_is_cut_and_aborted(core_harness: New) -> None:
-    i, client, _ = streaming(core_harness)
-    i.loop.pass_time(4.9)
+def test_a_stream_past_its_limit_is_cancelled_and_aborted(core_harness: MakeHarness) -> None:
+    harness, client, _ = streaming_request(core_harness)
+    harness.loop.pass_time(4.9)
     assert client.finals == []
-    i.loop.pass_time(0.2)
-    assert client.finals == ["aborted: the stream ran past its limit"] and i.link.attempts[-1].cancelled
-    assert not i.core.live
-
-
-def test_a_first_token_and_a_time_out_in_one_batch(core_harness: New) -> None:
-    i = core_harness()
-    i.engines(*FLEET)
-    client, _ = i.take()
-    i.read()
-    out = i.link.attempts[-1]
-    out.events.first_token()
-    out.events.tokens("a")
-    out.events.ended(Outcome.TIMED_OUT, 0, {}, {})
-    i.loop.pass_time(10.0)
-    assert len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(i.link.attempts) == 2
-
-
-def test_news_after_the_final_answer_changes_nothing(core_harness: New) -> None:
-    i, client, _ = streaming(core_harness)
-    out = i.link.attempts[-1]
-    out.events.ended(Outcome.FINISHED, 0, {}, {})
-    i.loop.turn()
-    out.events.first_token()
-    out.events.tokens("late")
-    out.events.ended(Outcome.FINISHED, 0, {}, {})
-    i.loop.pass_time(10.0)
+    harness.loop.pass_time(0.2)
+    assert client.finals == ["aborted: the stream ran past its limit"] and harness.link.attempts[-1].cancelled
+    assert not harness.core.live
+
+
+def test_a_first_token_and_a_time_out_in_one_turn(core_harness: MakeHarness) -> None:
+    harness = core_harness()
+    harness.engines(*FLEET)
+    client, _ = harness.take()
+    harness.read()
+    attempt = harness.link.attempts[-1]
+    attempt.events.first_token()
+    attempt.events.tokens("a")
+    attempt.events.ended(Outcome.TIMED_OUT, 0, {}, {})
+    harness.loop.pass_time(10.0)
+    assert (
+        len(client.finals) == 1 and client.finals[0].startswith("aborted") and len(harness.link.attempts) == 2
+    )
+
+
+def test_events_after_the_final_answer_change_nothing(core_harness: MakeHarness) -> None:
+    harness, client, _ = streaming_request(core_harness)
+    attempt = harness.link.attempts[-1]
+    attempt.events.ended(Outcome.FINISHED, 0, {}, {})
+    harness.loop.turn()
+    attempt.events.first_token()
+    attempt.events.tokens("late")
+    attempt.events.ended(Outcome.FINISHED, 0, {}, {})
+    harness.loop.pass_time(10.0)
     assert client.finals == ["finished"] and client.text == ["a"]
 
 
-def test_the_list_says_gone_while_a_stream_runs(core_harness: New) -> None:
-    i, client, _ = streaming(core_harness)
-    i.engines(*FLEET, health=Health.REMOVED)
-    i.link.attempts[-1].events.tokens("b")
-    i.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
-    i.loop.turn()
+def test_a_stream_goes_on_after_its_engine_is_removed(core_harness: MakeHarness) -> None:
+    harness, client, _ = streaming_request(core_harness)
+    harness.engines(*FLEET, health=Health.REMOVED)
+    harness.link.attempts[-1].events.tokens("b")
+    harness.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
+    harness.loop.turn()
     assert client.finals == ["finished"] and client.text == ["a", "b"]
 
 
 @pytest.mark.parametrize("when", ["reading", "between", "writing", "streaming"])
-def test_a_client_that_leaves_frees_all_that_is_held(core_harness: New, when: str) -> None:
-    i = core_harness(cold_multiple=0.0)
-    i.engines(*FLEET)
-    client, taken = i.take()
+def test_a_disconnected_client_frees_all_that_is_held(core_harness: MakeHarness, when: str) -> None:
+    harness = core_harness(cold_multiple=0.0)
+    harness.engines(*FLEET)
+    client, request = harness.take()
     if when == "between":
-        i.engines((12, 1), (13, 1), started=i.loop.now)  # cold, and none may be sent there: the state waits
+        harness.engines(
+            (12, 1), (13, 1), started=harness.loop.now
+        )  # cold, with no attempt allowed there: the state waits
     if when != "reading":
-        i.read()
+        harness.read()
     if when == "streaming":
-        i.link.attempts[-1].events.first_token()
-        i.loop.turn()
-    taken.client_left()
-    i.loop.pass_time(0.29)
-    assert client.finals == [] and not i.core.live and i.core.tally.left == 1
-    assert i.link.attempts[-1].cancelled == (when != "between")
-    assert (i.link.released == [i.link.attempts[0].name]) == (when != "streaming")
+        harness.link.attempts[-1].events.first_token()
+        harness.loop.turn()
+    request.client_left()
+    harness.loop.pass_time(0.29)
+    assert client.finals == [] and not harness.core.live and harness.core.tally.left == 1
+    assert harness.link.attempts[-1].cancelled == (when != "between")
+    assert (harness.link.released == [harness.link.attempts[0].name]) == (when != "streaming")
 
 
 @pytest.mark.parametrize(
     "effect, final", [(Effect.IDEMPOTENT, "rate-limited"), (Effect.NON_IDEMPOTENT, "aborted: given up")]
 )
 def test_silence_ends_in_one_answer_before_the_client_timeout(
-    core_harness: New, effect: Effect, final: str
+    core_harness: MakeHarness, effect: Effect, final: str
 ) -> None:
-    i = core_harness(effect)
-    i.engines(*FLEET)
-    client, _ = i.take(timeout=4.0)
-    i.read()
-    for _ in range(400):  # each dispatch runs into the time it was given
-        i.loop.pass_time(0.01)
-        for out in [o for o in i.link.attempts if not o.cancelled and not o.events.over]:  # type: ignore[attr-defined]
-            if i.loop.now >= 103.9:
-                out.events.ended(Outcome.TIMED_OUT, 0, {}, {})
-                i.loop.turn()
-    assert client.finals == [final] and not i.core.live
-
-
-def test_what_the_router_lets_run_out_of_time_is_aborted(
-    core_harness: New, monkeypatch: pytest.MonkeyPatch
+    harness = core_harness(effect)
+    harness.engines(*FLEET)
+    client, _ = harness.take(timeout=4.0)
+    harness.read()
+    for _ in range(400):  # each attempt times out
+        harness.loop.pass_time(0.01)
+        for attempt in [o for o in harness.link.attempts if not o.cancelled and not o.events.over]:  # type: ignore[attr-defined]
+            if harness.loop.now >= 103.9:
+                attempt.events.ended(Outcome.TIMED_OUT, 0, {}, {})
+                harness.loop.turn()
+    assert client.finals == [final] and not harness.core.live
+
+
+def test_a_request_that_the_router_lets_run_past_its_deadline_is_aborted(
+    core_harness: MakeHarness, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    i = core_harness()
-    i.engines(*FLEET)
-    monkeypatch.setattr(i.core.router, "decide", lambda: None)
-    client, _ = i.take(timeout=2.0)
-    i.loop.pass_time(2.0)
-    assert client.finals == ["aborted: out of time"] and not i.core.live and i.core.tally.late == 1
+    harness = core_harness()
+    harness.engines(*FLEET)
+    monkeypatch.setattr(harness.core.router, "decide", lambda: None)
+    client, _ = harness.take(timeout=2.0)
+    harness.loop.pass_time(2.0)
+    assert (
+        client.finals == ["aborted: out of time"] and not harness.core.live and harness.core.tally.late == 1
+    )
 
 
 @pytest.mark.parametrize("where", ["try_place", "has_eligible_engine", "possibly_run_attempts"])
-def test_one_completion_whose_decision_raises_is_aborted_alone(
-    core_harness: New, monkeypatch: pytest.MonkeyPatch, where: str
+def test_only_the_request_whose_decision_raises_is_aborted(
+    core_harness: MakeHarness, monkeypatch: pytest.MonkeyPatch, where: str
 ) -> None:
-    i = core_harness()
-    i.engines(*FLEET)
+    harness = core_harness()
+    harness.engines(*FLEET)
     victim: list[Any] = []
-    owner = RequestState if where == "possibly_run_attempts" else type(i.core.router)
-    true = getattr(owner, where)
+    owner = RequestState if where == "possibly_run_attempts" else type(harness.core.router)
+    original = getattr(owner, where)
 
-    def faulty(self: Any, *args: Any) -> Any:
+    def raise_for_victim(self: Any, *args: Any) -> Any:
         if (self if where == "possibly_run_attempts" else args[0]) in victim:
             raise ZeroDivisionError("seeded")
-        return true(self, *args)
-
-    monkeypatch.setattr(owner, where, faulty)
-    clients = [i.take()[0] for _ in range(2)]
-    bad, taken = i.take()
-    victim.append(taken.handle)
-    clients += [i.take()[0] for _ in range(2)]
-    i.loop.pass_time(0.2)
+        return original(self, *args)
+
+    monkeypatch.setattr(owner, where, raise_for_victim)
+    clients = [harness.take()[0] for _ in range(2)]
+    faulty_client, request = harness.take()
+    victim.append(request.handle)
+    clients += [harness.take()[0] for _ in range(2)]
+    harness.loop.pass_time(0.2)
     while any(not c.finals for c in clients):
-        for out in [o for o in i.link.attempts if not o.events.over]:  # type: ignore[attr-defined]
-            if out.kv is None and out.engine == "e10":
-                out.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": out.name}})
+        for attempt in [o for o in harness.link.attempts if not o.events.over]:  # type: ignore[attr-defined]
+            if attempt.kv is None and attempt.engine == "e10":
+                attempt.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": attempt.name}})
             else:
-                out.events.first_token()
-                out.events.ended(Outcome.FINISHED, 0, {}, {})
-            i.loop.turn()
-        i.loop.pass_time(0.05)
-        assert i.loop.now < 110.0
+                attempt.events.first_token()
+                attempt.events.ended(Outcome.FINISHED, 0, {}, {})
+            harness.loop.turn()
+        harness.loop.pass_time(0.05)
+        assert harness.loop.now < 110.0
     assert [c.finals for c in clients] == [["finished"]] * 4
-    assert bad.finals == ["aborted: its decision failed"] and not i.core.live and i.core.tally.faults >= 1
+    assert (
+        faulty_client.finals == ["aborted: its decision failed"]
+        and not harness.core.live
+        and harness.core.tally.faults >= 1
+    )
 
 
-def test_a_read_that_ends_unseen_is_let_go_by_name(core_harness: New) -> None:
-    i = core_harness()
-    i.engines(*FLEET)
-    i.take()
-    i.link.attempts[0].events.ended(Outcome.TIMED_OUT, 0, {}, {})
-    assert i.link.released == ["cmpl-f-1.0"]
+def test_a_prefill_with_an_unknown_result_is_released_by_name(core_harness: MakeHarness) -> None:
+    harness = core_harness()
+    harness.engines(*FLEET)
+    harness.take()
+    harness.link.attempts[0].events.ended(Outcome.TIMED_OUT, 0, {}, {})
+    assert harness.link.released == ["cmpl-f-1.0"]
 
 
-def test_a_sink_that_raises_harms_nobody_else(core_harness: New) -> None:
-    i, client, _ = streaming(core_harness)
+def test_a_response_writer_that_raises_affects_no_other_request(core_harness: MakeHarness) -> None:
+    harness, client, _ = streaming_request(core_harness)
     client.finished = lambda *a: 1 / 0
-    i.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
-    i.loop.turn()
-    assert not i.core.live and i.core.tally.finished == 1
-
-
-def test_one_that_ran_out_of_time_is_no_longer_counted_at_its_engine(core_harness: New) -> None:
-    """Guards against an engine that looks busy for good: a reader takes two of ours, and two lost ones
-    closed it until the front's end."""
-    i = core_harness()
-    i.engines(*FLEET)
-    i.link.send = lambda *rest: Lost()  # type: ignore[assignment, method-assign]
-    client, taken = i.take()
-    i.loop.pass_time(10.0)
+    harness.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
+    harness.loop.turn()
+    assert not harness.core.live and harness.core.tally.finished == 1
+
+
+def test_a_request_past_its_deadline_is_no_longer_counted_at_its_engine(core_harness: MakeHarness) -> None:
+    """Guards against an engine that seems busy forever.
+
+    A prefill engine gets two attempts at a time; two that were never ended kept it closed until a restart.
+    """
+    harness = core_harness()
+    harness.engines(*FLEET)
+    harness.link.send = lambda *rest: SilentCall()  # type: ignore[assignment, method-assign]
+    client, request = harness.take()
+    harness.loop.pass_time(10.0)
     assert client.finals == ["aborted: out of time"]
-    taken.attempts[0].ended(Outcome.CANCELLED, 0, {}, {})
-    i.loop.turn()
-    assert not i.core.live and not any(e.in_flight for e in i.core.router.engines.values())
+    request.attempts[0].ended(Outcome.CANCELLED, 0, {}, {})
+    harness.loop.turn()
+    assert not harness.core.live and not any(e.in_flight for e in harness.core.router.engines.values())
 
 
-class Lost:
+class SilentCall:
     def cancel(self) -> None:
-        """A link that does not tell of the end at once."""
+        """Do nothing: the link does not report the end at once."""
+
 
+def named_request(make_harness: MakeHarness, **more: Any) -> tuple[CoreHarness, Any]:
+    harness = make_harness(**more)
+    harness.engines(*FLEET)
+    request = harness.core.accept(RecordingClient(), 0, 0, "s", "", 5000, 0, 100, 4.0, "body", name="c0")
+    harness.loop.turn()
+    return harness, request
 
-def named(new: New, **more: Any) -> tuple[CoreHarness, Any]:
-    i = new(**more)
-    i.engines(*FLEET)
-    taken = i.core.accept(RecordingClient(), 0, 0, "s", "", 5000, 0, 100, 4.0, "body", name="c0")
-    i.loop.turn()
-    return i, taken
 
+def test_with_a_shared_name_a_release_precedes_the_next_attempt(core_harness: MakeHarness) -> None:
+    """Guards against a release that waits for the end of the next attempt.
 
-def test_under_one_name_a_release_goes_before_the_dispatch_after_it(core_harness: New) -> None:
-    """It waited for that one's end: with one after the other unable to connect, past the pin limit."""
-    i, taken = named(core_harness)
-    first = i.link.attempts[-1]
+    With several attempts in a row unable to connect, the state was held past the pin limit.
+    """
+    harness, request = named_request(core_harness)
+    first = harness.link.attempts[-1]
     assert first.name == "c0"
-    first.events.ended(Outcome.BROKEN, 0, {}, {})  # a read that may have left a state
-    i.loop.turn()
-    second = i.link.attempts[-1]
-    assert second is not first and second.name == "c0" and i.link.released == ["c0"]
+    first.events.ended(Outcome.BROKEN, 0, {}, {})  # this prefill may have left a state
+    harness.loop.turn()
+    second = harness.link.attempts[-1]
+    assert second is not first and second.name == "c0" and harness.link.released == ["c0"]
     second.events.ended(Outcome.UNREACHABLE, 0, {}, {})
-    i.loop.pass_time(0.6)  # the only reader rests
-    assert i.link.attempts[-1] is not second and i.link.released == ["c0"]
-    taken.client_left()
-    i.loop.pass_time(0.1)
-    assert i.link.attempts[-1].cancelled and i.link.released == ["c0", "c0"]
+    harness.loop.pass_time(0.6)  # the only prefill engine is in cooldown
+    assert harness.link.attempts[-1] is not second and harness.link.released == ["c0"]
+    request.client_left()
+    harness.loop.pass_time(0.1)
+    assert harness.link.attempts[-1].cancelled and harness.link.released == ["c0", "c0"]
 
 
-def test_a_state_that_no_writer_can_be_reached_for_is_let_go_before_it_is_read_anew(
-    core_harness: New,
+def test_a_state_is_released_before_a_new_prefill_where_no_decode_engine_is_reachable(
+    core_harness: MakeHarness,
 ) -> None:
-    """Seen on a fleet with a zone cut off: read at 19.72 s, its writer not reached by 19.97, the release kept
-    back until two further dispatches could not connect either: 20.48, past what is allowed."""
-    i, _ = named(core_harness)
-    i.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
-    i.loop.turn()
-    i.loop.pass_time(0.25)
-    i.link.attempts[-1].events.ended(Outcome.UNREACHABLE, 0, {}, {})
-    i.loop.turn()
-    assert len(i.link.attempts) == 3 and i.link.released == ["c0"]
-
-
-def test_under_one_name_a_release_spares_a_state_that_waits_for_a_writer(core_harness: New) -> None:
-    i, _ = named(core_harness, cold_multiple=0.0)  # so that cold writers let nothing in
-    i.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
-    i.loop.turn()
-    i.engines((12, 1), (13, 1), started=i.loop.now)
-    i.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
-    i.loop.turn()
-    assert i.link.released == ["c0"]  # of the read that broke
-    i.loop.pass_time(0.3)
-    assert i.link.released == ["c0", "c0"]
-
-
-def test_what_can_not_be_sent_again_is_let_go(core_harness: New) -> None:
-    i, taken = named(core_harness)
-    i.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
-    i.loop.turn()
-    assert taken.body == "body"
-    i.link.attempts[-1].events.first_token()
-    assert taken.body is None
-
-
-def test_engines_that_left_the_list_are_forgotten(core_harness: New) -> None:
-    i = core_harness()
+    """Guards against a release that is delayed until further attempts have failed to connect.
+
+    On a fleet with a zone cut off: prefill at 19.72 s, decode engine not reached by 19.97 s, then two further
+    attempts that could not connect; the release came at 20.48 s, too late.
+    """
+    harness, _ = named_request(core_harness)
+    harness.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
+    harness.loop.turn()
+    harness.loop.pass_time(0.25)
+    harness.link.attempts[-1].events.ended(Outcome.UNREACHABLE, 0, {}, {})
+    harness.loop.turn()
+    assert len(harness.link.attempts) == 3 and harness.link.released == ["c0"]
+
+
+def test_with_a_shared_name_a_release_spares_a_state_that_waits_for_a_decode_engine(
+    core_harness: MakeHarness,
+) -> None:
+    harness, _ = named_request(core_harness, cold_multiple=0.0)  # so that cold decode engines get no attempt
+    harness.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
+    harness.loop.turn()
+    harness.engines((12, 1), (13, 1), started=harness.loop.now)
+    harness.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
+    harness.loop.turn()
+    assert harness.link.released == ["c0"]  # of the broken prefill
+    harness.loop.pass_time(0.3)
+    assert harness.link.released == ["c0", "c0"]
+
+
+def test_the_body_is_dropped_once_no_retry_is_possible(core_harness: MakeHarness) -> None:
+    harness, request = named_request(core_harness)
+    harness.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
+    harness.loop.turn()
+    assert request.body == "body"
+    harness.link.attempts[-1].events.first_token()
+    assert request.body is None
+
+
+def test_removed_engines_are_forgotten(core_harness: MakeHarness) -> None:
+    harness = core_harness()
     for n in range(500):
-        i.engines((n, 0), (n + 1, 1))
-        i.engines((n, 0), health=Health.REMOVED)
-    assert len(i.core.endpoints) <= 2 and len(i.core.router.engines) <= 2
+        harness.engines((n, 0), (n + 1, 1))
+        harness.engines((n, 0), health=Health.REMOVED)
+    assert len(harness.core.endpoints) <= 2 and len(harness.core.router.engines) <= 2
+
 
+def test_thousands_of_requests_leave_nothing_behind(core_harness: MakeHarness) -> None:
+    """Guards against memory that grows for as long as the process runs.
 
-def test_thousands_of_completions_leave_nothing_behind(core_harness: New) -> None:
-    """Guards against a front that grows for as long as it runs: engines under ever new numbers, sessions and
-    clients always new, and of each nothing is left once it is over."""
-    i = core_harness()
+    Engine numbers, sessions and clients are always new; once a request is over, nothing of them is kept.
+    """
+    harness = core_harness()
     for n in range(1500):
         if n % 10 == 0:
-            i.engines((n, 0), (n + 1, 1), (n + 2, 2))
-            i.engines((n - 10, 0), (n - 9, 1), (n - 8, 2), health=Health.REMOVED)
-        i.core.accept(RecordingClient(), 0, 0, f"s{n}", f"p{n}", 5000, 100, 100, 4.0, "body", name=f"c{n}")
-        i.loop.turn()
-        if i.link.attempts[-1].engine == f"e{n // 10 * 10}":
-            i.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
-            i.loop.turn()
-        i.link.attempts[-1].events.first_token()
-        i.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
-        i.loop.pass_time(0.05)
-        i.link.attempts.clear()
-    assert i.core.tally.finished == 1500 and not i.core.live
+            harness.engines((n, 0), (n + 1, 1), (n + 2, 2))
+            harness.engines((n - 10, 0), (n - 9, 1), (n - 8, 2), health=Health.REMOVED)
+        harness.core.accept(
+            RecordingClient(), 0, 0, f"s{n}", f"p{n}", 5000, 100, 100, 4.0, "body", name=f"c{n}"
+        )
+        harness.loop.turn()
+        if harness.link.attempts[-1].engine == f"e{n // 10 * 10}":
+            harness.link.attempts[-1].events.ended(Outcome.PREFILLED, 0, {}, {"kv": {}})
+            harness.loop.turn()
+        harness.link.attempts[-1].events.first_token()
+        harness.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
+        harness.loop.pass_time(0.05)
+        harness.link.attempts.clear()
+    assert harness.core.tally.finished == 1500 and not harness.core.live
     gc.collect()
-    core = i.core
-    left = [o for o in gc.get_objects() if isinstance(o, RequestState) and o.router is core.router]
-    held = [o for o in gc.get_objects() if isinstance(o, AcceptedRequest) and o.core is core]
-    sent = [o for o in gc.get_objects() if isinstance(o, EngineAttempt) and o.request.core is core]
-    assert len(left) + len(held) + len(sent) <= 10
+    core = harness.core
+    request_states = [o for o in gc.get_objects() if isinstance(o, RequestState) and o.router is core.router]
+    accepted_requests = [o for o in gc.get_objects() if isinstance(o, AcceptedRequest) and o.core is core]
+    engine_attempts = [o for o in gc.get_objects() if isinstance(o, EngineAttempt) and o.request.core is core]
+    assert len(request_states) + len(accepted_requests) + len(engine_attempts) <= 10
     assert len(core.endpoints) <= 6 and len(core.router.engines) <= 6
     assert not any(
         e.cached for e in core.router.last_combined.values() if e.number not in core.router.engines
@@ -309,13 +335,15 @@
 
 
 @pytest.mark.parametrize("may_cancel", [True, False])
-def test_what_has_not_begun_when_its_client_leaves_never_begins(core_harness: New, may_cancel: bool) -> None:
-    """It may wait for its connection, or for a release. Running ones are only cancelled where that may be."""
-    i = core_harness(may_cancel=may_cancel)
-    i.engines(*FLEET)
-    _, taken = i.take()
-    i.link.attempts[-1].begun = False
-    taken.client_left()
-    assert i.link.attempts[-1].withdrawn
-    i.loop.pass_time(10.0)
-    assert len(i.link.attempts) == 1 and not i.core.live
+def test_an_attempt_not_sent_when_its_client_disconnects_is_never_sent(
+    core_harness: MakeHarness, may_cancel: bool
+) -> None:
+    """It may wait for a connection or a release. Only running attempts are subject to may_cancel."""
+    harness = core_harness(may_cancel=may_cancel)
+    harness.engines(*FLEET)
+    _, request = harness.take()
+    harness.link.attempts[-1].begun = False
+    request.client_left()
+    assert harness.link.attempts[-1].withdrawn
+    harness.loop.pass_time(10.0)
+    assert len(harness.link.attempts) == 1 and not harness.core.live
--- a/tests/test_held_check.py
+++ b/tests/test_held_check.py
@@ -1,4 +1,4 @@
-"""What the run-time check of held states tells where engines read a release in time and answer it late."""
+"""The run-time check of held states, where engines read a release in time and answer it late."""
 
 import asyncio
 import time
@@ -9,28 +9,28 @@
 from heathford.core.gate import Rule
 from heathford.standin.platform import READ
 
-LIMIT = 0.6  # s: of the stand-in's settings, and what the users allow beyond
-ANSWERS_AFTER = 0.4  # s: 0.2 s each way
+LIMIT = 0.6  # s: the stand-in's pin limit plus HELD_ALLOWANCE
+ANSWERS_AFTER = 0.4  # s: 0.2 s latency each way
 
 
 def test_a_release_that_came_in_time_and_is_answered_late_is_no_violation(
     tmp_path: Path, no_violations: list[str]
 ) -> None:
-    """Guards against a rule told as broken that was kept: a call counts once a running engine has it."""
+    """Guards against a false violation: a release counts from when a running engine has read it."""
 
-    async def day(play: FrontSetup) -> None:
-        reader, writer = play.engines
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        client = setup.client()
         client.send(request("c0"))
-        (await reader.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
         read_at = time.monotonic()
-        await until(lambda: reader.deletes + writer.deletes > 0, "the release")
+        await until(lambda: prefill_engine.deletes + decode_engine.deletes > 0, "the release")
         assert time.monotonic() - read_at < LIMIT
         await asyncio.sleep(ANSWERS_AFTER)
-        answering = asyncio.create_task(answer_releases(reader, writer))
+        answering = asyncio.create_task(answer_releases(prefill_engine, decode_engine))
         await asyncio.sleep(0.1)
         answering.cancel()
-        no_violations.clear()  # told below, not once more as the test ends
-        assert play.node.core.gate.violations[Rule.HELD] == 0
+        no_violations.clear()  # asserted below; otherwise the fixture fails, too
+        assert setup.node.core.gate.violations[Rule.HELD] == 0
 
-    run_scenario(tmp_path, day, prefill(), decode())
+    run_scenario(tmp_path, scenario, prefill(), decode())
--- a/tests/test_idempotency_key.py
+++ b/tests/test_idempotency_key.py
@@ -1,4 +1,4 @@
-"""The mark by which engines know a repeat is passed on at every attempt, as the client sent it."""
+"""The idempotency key is passed on with every attempt, as the client sent it."""
 
 import asyncio
 from pathlib import Path
@@ -12,7 +12,7 @@
 KEY = "b02d0542cb65 83a72f10"
 
 
-def keyed(settings: dict[str, Any]) -> None:
+def set_guarded(settings: dict[str, Any]) -> None:
     settings["categories"][0].update(idempotency="guarded", group="all", keyTtlNs=2_000_000_000)
 
 
@@ -22,43 +22,52 @@
 
 
 def test_every_attempt_carries_the_key(tmp_path: Path) -> None:
-    """Prefill, decode, and the decode again after one that was turned away.
+    """Prefill, decode, and a retry of the decode after a refused one.
 
-    Seen on a deployment of our own: "request 7cf48bc7 is not as its client sent it (idempotency key)"."""
+    Guards against attempts without the key: an engine reported "request 7cf48bc7 is not as its client sent it
+    (idempotency key)".
+    """
 
-    async def day(play: FrontSetup) -> None:
-        a, b, other = play.engines
-        client = play.client()
-        await play.answer_anywhere(client, "before")
-        for engine in play.engines:
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine, other_decode_engine = setup.engines
+        client = setup.client()
+        await setup.answer_anywhere(client, "before")
+        for engine in setup.engines:
             engine.reset_counts()
-        releases = asyncio.create_task(answer_releases(*play.engines))
+        releases = asyncio.create_task(answer_releases(*setup.engines))
         client.send(with_header("c0", f"Idempotency-Key: {KEY}"))
-        held = await a.wait_for_request()
-        assert held.header("Idempotency-Key") == KEY
-        held.sock.sendall(READ)
-        await until(lambda: b.posts + other.posts == 1, "a decode attempt")
-        first, second = (b, other) if b.posts else (other, b)
-        held = await first.wait_for_request()
-        assert held.header("Idempotency-Key") == KEY
-        held.sock.sendall(WORDS["full"])
-        await until(lambda: b.posts + other.posts + a.posts == 3, "a further attempt")
-        engine = next(e for e, n in ((a, 2), (first, 2), (second, 1)) if e.posts == n)
+        connection = await prefill_engine.wait_for_request()
+        assert connection.header("Idempotency-Key") == KEY
+        connection.sock.sendall(READ)
+        await until(lambda: decode_engine.posts + other_decode_engine.posts == 1, "a decode attempt")
+        first, second = (
+            (decode_engine, other_decode_engine)
+            if decode_engine.posts
+            else (other_decode_engine, decode_engine)
+        )
+        connection = await first.wait_for_request()
+        assert connection.header("Idempotency-Key") == KEY
+        connection.sock.sendall(WORDS["full"])
+        await until(
+            lambda: decode_engine.posts + other_decode_engine.posts + prefill_engine.posts == 3,
+            "a further attempt",
+        )
+        engine = next(e for e, n in ((prefill_engine, 2), (first, 2), (second, 1)) if e.posts == n)
         assert (await engine.wait_for_request(engine.posts)).header("Idempotency-Key") == KEY
         releases.cancel()
 
-    run_scenario(tmp_path, day, prefill(), decode(), decode("w2"), setting=keyed)
+    run_scenario(tmp_path, scenario, prefill(), decode(), decode("w2"), setting=set_guarded)
 
 
-def test_without_a_key_none_is_made_up(tmp_path: Path) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client = play.client()
-        held = await play.submit_until_decode(client)
-        held.sock.sendall(GOOD)
-        assert b"idempotency" not in held.read_available().lower()
+def test_without_a_key_none_is_sent(tmp_path: Path) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        client = setup.client()
+        connection = await setup.submit_until_decode(client)
+        connection.sock.sendall(GOOD)
+        assert b"idempotency" not in connection.read_available().lower()
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
 @pytest.mark.parametrize(
@@ -70,11 +79,11 @@
     ],
     ids=["twice", "too long", "no ASCII"],
 )
-def test_a_key_that_can_not_be_read_is_refused(tmp_path: Path, line: str) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client = play.client()
+def test_an_invalid_key_is_refused(tmp_path: Path, line: str) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        client = setup.client()
         client.send(with_header("c0", line))
-        assert await client.wait_for_answers(1) == [400] and not a.posts
+        assert await client.wait_for_answers(1) == [400] and not prefill_engine.posts
 
-    run_scenario(tmp_path, day, setting=keyed)
+    run_scenario(tmp_path, scenario, setting=set_guarded)
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -1,6 +1,6 @@
-"""An attempt that waits for a connection or a release is looked at again right before its first byte.
+"""An attempt that waited for a connection or a release is checked again right before its first byte.
 
-Between the decision and that moment an engine may begin to drain, and the window for repeats may end.
+Since the decision its engine may have begun to drain, and the time in which its key is known may have ended.
 """
 
 import asyncio
@@ -13,21 +13,21 @@
 from heathford.standin.platform import GOOD, READ
 
 
-class Gate:
-    """Connections to one port come up when it is opened."""
+class DelayedConnections:
+    """Delays connections to one port until they are released."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, loop: asyncio.AbstractEventLoop, port: int) -> None:
-        self.opened = asyncio.Event()
+        self.released = asyncio.Event()
         self.waiting = 0
         connect = loop.create_connection
 
-        async def later(made: Any, host: str, to: int, **more: Any) -> Any:
-            if to == port:
+        async def delayed_connect(protocol_factory: Any, host: str, to_port: int, **more: Any) -> Any:
+            if to_port == port:
                 self.waiting += 1
-                await self.opened.wait()
-            return await connect(made, host, to, **more)
+                await self.released.wait()
+            return await connect(protocol_factory, host, to_port, **more)
 
-        monkeypatch.setattr(loop, "create_connection", later)
+        monkeypatch.setattr(loop, "create_connection", delayed_connect)
 
 
 @pytest.mark.parametrize("state", ["DRAINING", "DELETED"])
@@ -35,24 +35,24 @@
 def test_no_attempt_at_an_engine_that_began_to_drain_while_its_connection_came_up(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, place: int, state: str
 ) -> None:
-    async def day(play: FrontSetup) -> None:
-        engine = play.engines[place]
-        gate = Gate(monkeypatch, play.node.loop, engine.listener.getsockname()[1])
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        engine = setup.engines[place]
+        connections = DelayedConnections(monkeypatch, setup.node.loop, engine.listener.getsockname()[1])
+        client = setup.client()
         client.send(request("c0"))
         if place:
-            (await play.engines[0].wait_for_request()).sock.sendall(READ)
-        await until(lambda: gate.waiting > 0, "a connection on its way")
-        version = play.node.instances.version
+            (await setup.engines[0].wait_for_request()).sock.sendall(READ)
+        await until(lambda: connections.waiting > 0, "a connection attempt")
+        version = setup.node.instances.version
         engine.state = state
-        play.publish_entries(engine)
-        await until(lambda: play.node.instances.version > version, "the drain told")
-        gate.opened.set()
+        setup.publish_entries(engine)
+        await until(lambda: setup.node.instances.version > version, "the drain in the endpoint list")
+        connections.released.set()
         await run_loop_turns(200)
         assert engine.posts == 0
-        other = play.engines[place + 2]
+        other = setup.engines[place + 2]
         (await other.wait_for_request()).sock.sendall(GOOD if place else READ)
 
     run_scenario(
-        tmp_path, day, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9
+        tmp_path, scenario, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9
     )
--- a/tests/test_link.py
+++ b/tests/test_link.py
@@ -1,4 +1,4 @@
-"""Every way in which an engine can end a dispatch maps to one outcome, over loopback."""
+"""Each way in which an engine can end an attempt maps to one outcome, over loopback."""
 
 import asyncio
 import socket
@@ -30,8 +30,8 @@
     return b"HTTP/1.1 %d X\r\n%bContent-Length: %d\r\n\r\n%b" % (status, more, len(body), body)
 
 
-class Seen:
-    """What a link told of one dispatch."""
+class RecordedCallEvents:
+    """The events that a link has reported on one attempt."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -61,30 +61,30 @@
         self.over.set()
 
 
-class Scripted:
-    """An engine that says given bytes once a request has come, then does one thing."""
+class ScriptedEngine:
+    """An engine that answers a request with the given bytes and then ends as given."""
 
-    def __init__(self, says: bytes, then: str) -> None:
-        self.says, self.then, self.heads, self.connections = says, then, list[bytes](), 0
+    def __init__(self, response: bytes, ending: str) -> None:
+        self.response, self.ending, self.heads, self.connections = response, ending, list[bytes](), 0
         self.closed = asyncio.Event()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            while self.then != "reset before":
+            while self.ending != "reset before":
                 head = await reader.readuntil(b"\r\n\r\n")
                 self.heads.append(head)
                 length = head.lower().partition(b"content-length: ")[2].split(b"\r\n")[0]
                 await reader.readexactly(int(length or b"0"))
-                writer.write(self.says)
+                writer.write(self.response)
                 await writer.drain()
-                if self.then != "keep":
+                if self.ending != "keep":
                     break
-            if self.then == "silence":
+            if self.ending == "silence":
                 await reader.read()
         except asyncio.IncompleteReadError:
             pass
-        if self.then.startswith("reset"):
+        if self.ending.startswith("reset"):
             writer.get_extra_info("socket").setsockopt(
                 socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0)
             )
@@ -92,35 +92,35 @@
         self.closed.set()
 
 
-def link(**figures: Any) -> EngineLink:
+def make_link(**figures: Any) -> EngineLink:
     values: dict[str, Any] = dict(
         connect_timeout=0.5, connections=8, idle=5.0, stream_silence=0.15, longest_line=2000, pin_limit=0.3
     )
     return EngineLink(**(values | figures))
 
 
-def play(
-    says: bytes, then: str, role: Role = Role.DECODE, timeout: float = 0.3, cancel: bool = False
-) -> Seen:
-    async def run() -> Seen:
-        engine, seen = Scripted(says, then), Seen()
+def run_attempt(
+    response: bytes, ending: str, role: Role = Role.DECODE, timeout: float = 0.3, cancel: bool = False
+) -> RecordedCallEvents:
+    async def run() -> RecordedCallEvents:
+        engine, recorded = ScriptedEngine(response, ending), RecordedCallEvents()
         server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        if then == "refuse":
+        if ending == "refuse":
             server.close()
             await server.wait_closed()
-        the_link = link()
-        call = the_link.send(
-            Endpoint(1, "e", role, "127.0.0.1", port), "c.0", {"prompt": "x"}, None, "", timeout, seen
+        link = make_link()
+        call = link.send(
+            Endpoint(1, "e", role, "127.0.0.1", port), "c.0", {"prompt": "x"}, None, "", timeout, recorded
         )
         if cancel:
-            await seen.begun.wait()
+            await recorded.begun.wait()
             call.cancel()
             await engine.closed.wait()
-        await asyncio.wait_for(seen.over.wait(), 5.0)
-        the_link.stop()
+        await asyncio.wait_for(recorded.over.wait(), 5.0)
+        link.stop()
         server.close()
-        return seen
+        return recorded
 
     return asyncio.run(run())
 
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize(
-    "says, then, outcome, detail",
+    "response, ending, outcome, detail",
     [
         (GOOD, "close", Outcome.FINISHED, 4),
         (GOOD, "keep", Outcome.FINISHED, 4),
@@ -168,15 +168,17 @@
         (whole(410, b"[]"), "keep", Outcome.ERROR, 0),
     ],
 )
-def test_one_verdict_for_every_end(says: bytes, then: str, outcome: Outcome, detail: int) -> None:
-    seen = play(says, then)
-    assert (seen.outcome, seen.detail) == (outcome, detail)
+def test_each_way_to_end_an_attempt_has_one_outcome(
+    response: bytes, ending: str, outcome: Outcome, detail: int
+) -> None:
+    recorded = run_attempt(response, ending)
+    assert (recorded.outcome, recorded.detail) == (outcome, detail)
     if outcome is Outcome.FINISHED:
-        assert seen.events == ["first", " a", " a"] and seen.load == {"memory": 0.5, "queue": 3.0}
+        assert recorded.events == ["first", " a", " a"] and recorded.load == {"memory": 0.5, "queue": 3.0}
 
 
 @pytest.mark.parametrize(
-    "says, outcome, detail",
+    "response, outcome, detail",
     [
         (whole(200, READ, LOAD), Outcome.PREFILLED, 7),
         (whole(200, b"{}"), Outcome.ERROR, 0),
@@ -184,33 +186,33 @@
         (whole(503, b""), Outcome.FULL, 0),
     ],
 )
-def test_reads(says: bytes, outcome: Outcome, detail: int) -> None:
-    seen = play(says, "keep", Role.PREFILL)
-    assert (seen.outcome, seen.detail) == (outcome, detail)
-    assert outcome is not Outcome.PREFILLED or seen.load == {"memory": 0.5, "queue": 3.0}
+def test_prefill_answers(response: bytes, outcome: Outcome, detail: int) -> None:
+    recorded = run_attempt(response, "keep", Role.PREFILL)
+    assert (recorded.outcome, recorded.detail) == (outcome, detail)
+    assert outcome is not Outcome.PREFILLED or recorded.load == {"memory": 0.5, "queue": 3.0}
 
 
 def test_a_cancel_closes_the_connection_and_ends_it_once() -> None:
-    seen = play(HEAD + chunked(TOKEN)[:-5], "silence", timeout=5.0, cancel=True)
-    assert seen.outcome is Outcome.CANCELLED
+    recorded = run_attempt(HEAD + chunked(TOKEN)[:-5], "silence", timeout=5.0, cancel=True)
+    assert recorded.outcome is Outcome.CANCELLED
 
 
-def test_connections_are_kept_and_bounded() -> None:
+def test_connections_are_reused_and_limited() -> None:
     async def run() -> None:
-        engine, the_link = Scripted(GOOD, "keep"), link(connections=1)
+        engine, link = ScriptedEngine(GOOD, "keep"), make_link(connections=1)
         server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
         endpoint = Endpoint(1, "e", Role.DECODE, "127.0.0.1", server.sockets[0].getsockname()[1])
         for _ in range(3):
-            seen = Seen()
-            the_link.send(endpoint, "c.0", {}, None, "m", 5.0, seen)
-            await seen.over.wait()
+            recorded = RecordedCallEvents()
+            link.send(endpoint, "c.0", {}, None, "m", 5.0, recorded)
+            await recorded.over.wait()
         assert engine.connections == 1 and all(b"Idempotency-Key: m" in h for h in engine.heads)
-        engine.then = "silence"
-        first, second = Seen(), Seen()
-        engine.says = HEAD + chunked(TOKEN)[:-5]
-        call = the_link.send(endpoint, "c.0", {}, None, "", 5.0, first)
+        engine.ending = "silence"
+        first, second = RecordedCallEvents(), RecordedCallEvents()
+        engine.response = HEAD + chunked(TOKEN)[:-5]
+        call = link.send(endpoint, "c.0", {}, None, "", 5.0, first)
         await first.begun.wait()
-        the_link.send(endpoint, "c.1", {}, None, "", 5.0, second)
+        link.send(endpoint, "c.1", {}, None, "", 5.0, second)
         await second.over.wait()
         assert second.outcome is Outcome.NO_FREE_CONNECTION and len(engine.heads) == 4
         call.cancel()
@@ -221,33 +223,33 @@
 
 def test_a_connection_closed_while_idle_is_not_used() -> None:
     async def run() -> None:
-        engine, the_link = Scripted(GOOD, "close"), link()
+        engine, link = ScriptedEngine(GOOD, "close"), make_link()
         server = await asyncio.start_server(engine.serve, "127.0.0.1", 0)
         endpoint = Endpoint(1, "e", Role.DECODE, "127.0.0.1", server.sockets[0].getsockname()[1])
         for _ in range(3):
-            seen = Seen()
-            the_link.send(endpoint, "c.0", {}, None, "", 5.0, seen)
-            await seen.over.wait()
+            recorded = RecordedCallEvents()
+            link.send(endpoint, "c.0", {}, None, "", 5.0, recorded)
+            await recorded.over.wait()
             await engine.closed.wait()
-            pool = the_link.pool(endpoint)
-            while pool.idle:  # until the close is seen here too
+            pool = link.pool(endpoint)
+            while pool.idle:  # until the close is noticed here, too
                 await asyncio.sleep(0)
-            assert seen.outcome is Outcome.FINISHED and pool.open == 0
+            assert recorded.outcome is Outcome.FINISHED and pool.open == 0
         server.close()
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("answers, tries", [([204], 1), ([404], 1), ([0, 0, 204], 3), ([500] * 9, MAX_TRIES)])
-def test_a_state_is_let_go_within_its_limit(answers: list[int], tries: int) -> None:
-    now, said = 10.0, 0
-    letting = ReleaseRetries(now, 0.3)
-    while (wait := letting.next_try_delay(now)) is not None:
-        now += wait + letting.try_timeout(now + wait) * 0.9
-        said += 1
-        if letting.confirms_release(answers[said - 1]):
+def test_a_state_is_released_within_its_limit(answers: list[int], tries: int) -> None:
+    now, tries_made = 10.0, 0
+    retries = ReleaseRetries(now, 0.3)
+    while (wait := retries.next_try_delay(now)) is not None:
+        now += wait + retries.try_timeout(now + wait) * 0.9
+        tries_made += 1
+        if retries.confirms_release(answers[tries_made - 1]):
             break
-    assert said == tries and now <= 10.3
+    assert tries_made == tries and now <= 10.3
 
 
 @pytest.mark.parametrize(
@@ -259,20 +261,20 @@
     ],
 )
 @pytest.mark.parametrize(
-    "says, then", [(whole(500, b""), "keep"), (b"", "reset"), (b"", "close"), (b"nonsense", "close")]
+    "response, ending", [(whole(500, b""), "keep"), (b"", "reset"), (b"", "close"), (b"nonsense", "close")]
 )
-def test_a_keyed_one_is_not_repeated_after_an_attempt_that_may_have_run(
-    says: bytes, then: str, effect: Effect, final: str, repeated: bool
+def test_a_keyed_request_is_not_retried_after_an_attempt_that_may_have_run(
+    response: bytes, ending: str, effect: Effect, final: str, repeated: bool
 ) -> None:
-    """Guards against a repeat that its engine reads when the key is known no more."""
+    """Guards against a retry that its engine reads after it has forgotten the idempotency key."""
 
     async def run() -> None:
-        engines = [Scripted(says, then), Scripted(says, then)]
+        engines = [ScriptedEngine(response, ending), ScriptedEngine(response, ending)]
         servers = [await asyncio.start_server(e.serve, "127.0.0.1", 0) for e in engines]
-        the_link, client = link(), RecordingClient()
+        link, client = make_link(), RecordingClient()
         core = Core(
             asyncio.get_running_loop(),
-            the_link,
+            link,
             "f",
             1,
             [EngineKind(Role.COMBINED, 0)],
@@ -300,7 +302,7 @@
         async with asyncio.timeout(5.0):
             while not client.finals:
                 await asyncio.sleep(0.005)
-        the_link.stop()
+        link.stop()
         for server in servers:
             server.close()
         assert client.finals == [final]
@@ -311,14 +313,14 @@
 
 
 @pytest.mark.parametrize("rate", [1_000_000, 2_000_000])
-def test_a_long_prompt_goes_on_over_a_slow_link(rate: int) -> None:
-    """Guards against slow taken for cut, here as at the platform's link."""
-    size, step, verdicts = 250_000, 0.01, list[Outcome]()
+def test_a_long_prompt_is_sent_on_over_a_slow_link(rate: int) -> None:
+    """Guards against giving up a slow send as if the connection were cut; as at the platform's link."""
+    size, step, outcomes = 250_000, 0.01, list[Outcome]()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        got = b""
-        while b'x"' not in got[-400:]:
-            got += await reader.read(int(rate * step))
+        received = b""
+        while b'x"' not in received[-400:]:
+            received += await reader.read(int(rate * step))
             await asyncio.sleep(step)
         writer.write(whole(200, READ))
         await writer.drain()
@@ -327,17 +329,17 @@
         sock = socket.create_server(("127.0.0.1", 0))
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 16_384)
         server = await asyncio.start_server(serve, sock=sock, limit=16_384)
-        the_link, seen = link(), Seen()
+        link, recorded = make_link(), RecordedCallEvents()
         endpoint = Endpoint(1, "e", Role.PREFILL, "127.0.0.1", sock.getsockname()[1])
-        call = the_link.send(endpoint, "c.0", {"prompt": size * "x"}, None, "", 4.0, seen)
-        while not seen.over.is_set():
-            if the_link.pool(endpoint).open:
+        call = link.send(endpoint, "c.0", {"prompt": size * "x"}, None, "", 4.0, recorded)
+        while not recorded.over.is_set():
+            if link.pool(endpoint).open:
                 call.give_up_unless_arrived()
             await asyncio.sleep(step)
-        the_link.stop()
+        link.stop()
         server.close()
-        assert seen.outcome is not None
-        verdicts.append(seen.outcome)
+        assert recorded.outcome is not None
+        outcomes.append(recorded.outcome)
 
     asyncio.run(run())
-    assert verdicts == [Outcome.PREFILLED]
+    assert outcomes == [Outcome.PREFILLED]
--- a/tests/test_repeat_read_late.py
+++ b/tests/test_repeat_read_late.py
@@ -1,4 +1,4 @@
-"""A repeat whose engine reads it only after the window in which a key is known."""
+"""A retry whose engine reads it only after the time in which engines know an idempotency key."""
 
 import asyncio
 from pathlib import Path
@@ -9,42 +9,42 @@
 
 from heathford.standin.platform import READ, SECOND
 
-WINDOW = 1.5  # s
+WINDOW = 1.5  # s for which engines know a key
 
 
-def add_orders(told: dict[str, Any]) -> None:
-    """A kind of request that is repeated by its key, in any zone."""
-    told["categories"].append(
+def add_keyed_class(settings: dict[str, Any]) -> None:
+    """Add a request class that may be retried by its idempotency key, in any zone."""
+    settings["categories"].append(
         {
-            **told["categories"][0],
+            **settings["categories"][0],
             "name": "order",
             "idempotency": "guarded",
             "group": "all",
             "keyTtlNs": int(WINDOW * SECOND),
         }
     )
-    told["familyInfo"]["tokenAimNs"].append(told["familyInfo"]["tokenAimNs"][0])
+    settings["familyInfo"]["tokenAimNs"].append(settings["familyInfo"]["tokenAimNs"][0])
 
 
-def test_a_repeat_is_not_read_after_the_window_by_an_engine_that_was_stopped(tmp_path: Path) -> None:
-    """The front node closes it, but what the engine's machine has taken is read once the engine goes on."""
+def test_no_retry_is_read_after_the_window_by_an_engine_that_was_stopped(tmp_path: Path) -> None:
+    """The front node closes the connection, but a resumed engine reads what its kernel has received."""
 
-    async def day(play: FrontSetup) -> None:
-        reader, *writers = play.engines
-        releases = asyncio.create_task(answer_releases(reader))
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, *decode_engines = setup.engines
+        releases = asyncio.create_task(answer_releases(prefill_engine))
+        client = setup.client()
         client.send(request("c0", request_class="order"))
-        (await reader.wait_for_request()).sock.sendall(READ)
-        await until(lambda: any(writer.posts for writer in writers), "the first attempt")
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        await until(lambda: any(decode_engine.posts for decode_engine in decode_engines), "the first attempt")
         ran_at = monotonic()
-        stopped = next(writer for writer in writers if not writer.posts)
-        reads = 1
-        while monotonic() < ran_at + WINDOW:  # the stopped engine reads nothing meanwhile
-            if reader.posts > reads:
-                reads += 1
-                (await reader.wait_for_request(reads)).sock.sendall(READ)
+        stopped = next(decode_engine for decode_engine in decode_engines if not decode_engine.posts)
+        prefills = 1
+        while monotonic() < ran_at + WINDOW:  # the stopped engine reads nothing
+            if prefill_engine.posts > prefills:
+                prefills += 1
+                (await prefill_engine.wait_for_request(prefills)).sock.sendall(READ)
             await asyncio.sleep(0.005)
         releases.cancel()
         assert stopped.posts == 0
 
-    run_scenario(tmp_path, day, prefill(), decode("w"), decode("w2"), setting=add_orders)
+    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class)
