--- a/heathford/core/accepted_request.py
+++ b/heathford/core/accepted_request.py
@@ -25,7 +25,7 @@
     attempts_share_name: all attempts carry the request's own name, as the client protocol gave it; otherwise
     each has a name of its own. answer_deadline: s on the loop's clock by which the router gives the final
     answer. over: the final answer has been given, or the client has disconnected. abandoned: its routing
-    decision raised, so the router is asked for nothing more. handle: the router's own object for the request,
+    decision raised, so the router is asked for nothing more. routed_request: the router's own object for it,
     None until the turn in which the router gets it.
     """
 
@@ -51,7 +51,7 @@
         core.history.add(name, "taken")
         self.answer_deadline = answer_deadline
         self.attempts_share_name: bool = attempts_share_name
-        self.handle: RequestState | None = None
+        self.routed_request: RequestState | None = None
         self.attempts: list[EngineAttempt] = []
         self.in_flight: EngineAttempt | None = None
         self.prefill: PrefillState = PrefillState()
@@ -110,7 +110,7 @@
     @property
     def give_up_reason(self) -> str:
         """Why the router gave the request up, or empty."""
-        reason = self.handle.give_up_reason if self.handle else None
+        reason = self.routed_request.give_up_reason if self.routed_request else None
         return reason.value if reason else ""
 
     def abort(self, why: str = "given up") -> None:
@@ -143,7 +143,7 @@
             # Keeps an attempt that still waits for a connection or a release from being sent after its client
             # has gone. Done even where running attempts may not be cancelled.
             self.in_flight.call.withdraw()
-        self.core.notify_router(self, lambda handle: handle.client_left())
+        self.core.notify_router(self, lambda routed_request: routed_request.client_left())
 
     # Used by attempts and by the core.
 
@@ -223,7 +223,7 @@
             # Also notifies the router, which would otherwise count the attempt as in flight forever.
             self.cancel_attempt(self.in_flight)
         else:
-            self.core.notify_router(self, lambda handle: handle.client_left())
+            self.core.notify_router(self, lambda routed_request: routed_request.client_left())
 
     def abort_long_stream(self) -> None:
         self.abort("the stream ran past its limit")
@@ -244,5 +244,5 @@
         return (
             self.over
             and self.in_flight is None
-            and (self.abandoned or self.handle is None or self.handle.is_done)
+            and (self.abandoned or self.routed_request is None or self.routed_request.is_done)
         )
--- a/heathford/core/core.py
+++ b/heathford/core/core.py
@@ -199,7 +199,7 @@
             if request.over:
                 request.abandoned = True
                 return
-            request.handle = self.router.accept(
+            request.routed_request = self.router.accept(
                 request,
                 workload,
                 member,
@@ -254,8 +254,8 @@
     def notify_router(self, request: AcceptedRequest, notify: Callable[[RoutedRequest], None]) -> None:
         def apply() -> None:
             # Abandoned requests too: otherwise the router would count their attempts as in flight forever.
-            if request.handle:
-                notify(request.handle)
+            if request.routed_request:
+                notify(request.routed_request)
 
         self.enqueue_event(request, apply)
 
@@ -309,9 +309,9 @@
                 culprit = self.culprit(problem)
                 self.record_fault(problem, culprit)
                 self.router.waiting = [
-                    t.handle
+                    t.routed_request
                     for t in self.live
-                    if t.handle and not t.over and t.in_flight is None and not t.abandoned
+                    if t.routed_request and not t.over and t.in_flight is None and not t.abandoned
                 ]
                 if culprit is None:
                     self.wake(DECISION_RETRY_DELAY)
@@ -322,11 +322,13 @@
 
         Found by the router's local variable names, `request` and `self`.
         """
-        handles = {id(t.handle): t for t in self.live if t.handle and not t.abandoned}
+        by_routed_request = {
+            id(t.routed_request): t for t in self.live if t.routed_request and not t.abandoned
+        }
         found = None
         for frame, _ in walk_tb(problem.__traceback__):
             for name in ("request", "self"):
-                found = handles.get(id(frame.f_locals.get(name)), found)
+                found = by_routed_request.get(id(frame.f_locals.get(name)), found)
         return found
 
     def record_fault(self, problem: Exception, request: AcceptedRequest | None) -> None:
--- a/heathford/core/engine_attempt.py
+++ b/heathford/core/engine_attempt.py
@@ -88,7 +88,7 @@
         request.body = None  # no retry from here on; prompts kept during long streams would fill the memory
         if core.stream_limit < inf:
             request.timer = core.loop.call_at(core.loop.time() + core.stream_limit, request.abort_long_stream)
-        core.notify_router(request, lambda handle: handle.first_token(self.seq, latency))
+        core.notify_router(request, lambda routed_request: routed_request.first_token(self.seq, latency))
 
     def hold_state(self) -> HeldState:
         """Return the followed state of this prefill attempt, which may hold one at its engine.
@@ -144,7 +144,7 @@
         alive = alive or core.link.last_received_at(self.endpoint) > self.handed_over_at
         self.record("look for life", (SignOfLife.ANSWERS if alive else SignOfLife.SILENT).value)
         if not alive:
-            core.notify_router(self.request, lambda handle: handle.engine_silent(self.seq))
+            core.notify_router(self.request, lambda routed_request: routed_request.engine_silent(self.seq))
 
     def check_arrival(self) -> None:
         """Give a decode attempt up that has not arrived and doesn't progress, so that its state is not held.
@@ -198,5 +198,6 @@
             request.abort(f"the stream ended early: {outcome.value}")
         closed = request.over
         core.notify_router(
-            request, lambda handle: handle.ended(self.seq, outcome, latency, closed, detail, load)
+            request,
+            lambda routed_request: routed_request.ended(self.seq, outcome, latency, closed, detail, load),
         )
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -101,9 +101,8 @@
     harness.engines(*FLEET)
     client, request = harness.take()
     if when == "between":
-        harness.engines(
-            (12, 1), (13, 1), started=harness.loop.now
-        )  # cold, with no attempt allowed there: the state waits
+        # The decode engines are cold and get no attempt, so the state waits.
+        harness.engines((12, 1), (13, 1), started=harness.loop.now)
     if when != "reading":
         harness.read()
     if when == "streaming":
@@ -166,7 +165,7 @@
     monkeypatch.setattr(owner, where, raise_for_victim)
     clients = [harness.take()[0] for _ in range(2)]
     faulty_client, request = harness.take()
-    victim.append(request.handle)
+    victim.append(request.routed_request)
     clients += [harness.take()[0] for _ in range(2)]
     harness.loop.pass_time(0.2)
     while any(not c.finals for c in clients):
