--- a/heathford/discovery/__init__.py
+++ b/heathford/discovery/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's endpoint list: the calls that keep it current, and their clock."""
+"""Follow the endpoint list of the platform's discovery service."""
--- a/heathford/discovery/client.py
+++ b/heathford/discovery/client.py
@@ -1,4 +1,4 @@
-"""Carries the calls of a DiscoveryFollower over TCP, to an address that may change while it runs."""
+"""Make the calls of a DiscoveryFollower over TCP, to an address that may change in service."""
 
 import asyncio
 import time
@@ -11,8 +11,8 @@
 from heathford.fleet.endpoint_list import EndpointList
 from heathford.wire.http1 import encode_request
 
-PASSED_TOLD = 10  # entries of one list or change that are told one by one
-LOGGED_FAILURES = 3  # in a row: while discovery is down the same line would come several times a second
+MAX_SKIPPED_LOGGED = 10  # skipped entries of one list or change that are logged one by one
+MAX_FAILURES_LOGGED = 3  # in a row: while discovery is down the same line would come several times a second
 
 log = structlog.get_logger()
 
@@ -26,7 +26,7 @@
         self.transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the call, unless it has been given up meanwhile."""
+        """Send the request, unless the call has been dropped meanwhile."""
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
         if self.client.protocols.get(self.call) is not self:
@@ -36,20 +36,23 @@
         transport.write(encode_request("GET", self.call.path, self.client.address, headers, b""))
 
     def data_received(self, data: bytes) -> None:
-        """Hand the bytes on."""
+        """Pass the bytes on to the follower."""
         now = self.client.loop.time()
         self.client.follower.received(self.call, data, time.time(), now)
-        self.client.follow()
+        self.client.synchronize()
 
-    def connection_lost(self, problem: Exception | None) -> None:
-        """Tell that the call has ended."""
-        reason = f"connection lost: {problem!r}" if problem else "closed by discovery"
+    def connection_lost(self, error: Exception | None) -> None:
+        """Notify the follower that the call has ended."""
+        reason = f"connection lost: {error!r}" if error else "closed by discovery"
         self.client.follower.ended(self.call, reason, self.client.loop.time())
-        self.client.follow()
+        self.client.synchronize()
 
 
 class DiscoveryClient:
-    """Follows discovery until it is stopped; `changed` gets every change of the list, in order."""
+    """Follows discovery until it is stopped.
+
+    changed: called with each change of the endpoint list, in order.
+    """
 
     def __init__(
         self, address: str, port: int, endpoints: EndpointList, changed: Callable[[ListChange], None]
@@ -57,49 +60,49 @@
         self.address, self.port = address, port
         self.endpoints = endpoints
         self.loop = asyncio.get_running_loop()
-        self.follower = DiscoveryFollower(endpoints, self.tell(changed))
+        self.follower = DiscoveryFollower(endpoints, self.with_logging(changed))
         self.first_list = asyncio.Event()
-        self.protocols: dict[Call, CallProtocol] = {}  # of the calls that are open
+        self.protocols: dict[Call, CallProtocol] = {}  # of the open calls
         self.connecting: dict[Call, asyncio.Task[None]] = {}
         self.timer: asyncio.TimerHandle | None = None
-        self.failures_seen = 0
+        self.last_failures = 0
 
     def start(self) -> None:
-        """Ask for the whole list."""
+        """Fetch the whole list, then follow its changes."""
         self.follower.start(self.loop.time())
-        self.follow()
+        self.synchronize()
 
     def stop(self) -> None:
-        """Close the open call and open no other."""
+        """Close all calls and make no others."""
         self.follower.stop()
-        self.follow()
+        self.synchronize()
 
     def change_address(self, address: str, port: int) -> None:
-        """Follow another address from now on; the open call is given up."""
+        """Follow discovery at another address; open calls are closed."""
         self.address, self.port = address, port
         self.start()
 
-    async def wait_for_first_list(self, within: float) -> bool:
-        """Wait for the first whole list, that many seconds at most; return whether it is there."""
+    async def wait_for_first_list(self, timeout: float) -> bool:
+        """Wait up to `timeout` seconds for the first whole list; return whether it has been applied."""
         try:
-            await asyncio.wait_for(self.first_list.wait(), within)
+            await asyncio.wait_for(self.first_list.wait(), timeout)
         except TimeoutError:
             return False
         return True
 
-    def tell(self, changed: Callable[[ListChange], None]) -> Callable[[ListChange], None]:
-        """Log what could not be read beside each change."""
+    def with_logging(self, changed: Callable[[ListChange], None]) -> Callable[[ListChange], None]:
+        """Return a callback that logs the skipped entries before it passes on the change."""
 
-        def told(change: ListChange) -> None:
-            self.tell_passed_over()
+        def log_and_notify(change: ListChange) -> None:
+            self.log_skipped()
             changed(change)
 
-        return told
+        return log_and_notify
 
-    def follow(self) -> None:
-        """Do what the follower wants now: exactly its calls are open, and its clock is set."""
+    def synchronize(self) -> None:
+        """Open and close connections as the follower requires, and set the timer."""
         follower = self.follower
-        if follower.listed:
+        if follower.has_list:
             self.first_list.set()
         self.log_failures()
         calls = follower.calls
@@ -110,28 +113,27 @@
         if self.timer:
             self.timer.cancel()
             self.timer = None
-        if follower.deadline < float("inf"):
-            self.timer = self.loop.call_at(follower.deadline, self.wake)
+        if follower.wake_at < float("inf"):
+            self.timer = self.loop.call_at(follower.wake_at, self.wake)
 
     def wake(self) -> None:
-        # A loop's timer may fire a hair early, by its clock's resolution.
-        self.follower.wake(max(self.loop.time(), self.follower.deadline))
-        self.follow()
-
-    def tell_passed_over(self) -> None:
-        """Guards against a list with hundreds of entries that can't be read, which would hold up the loop for
-        as long as it takes to tell of each."""
-        passed = self.endpoints.passed
-        for what, why in islice(passed.items(), PASSED_TOLD):
-            log.error("instance passed over", instance=what, why=why)
-        if len(passed) > PASSED_TOLD:
-            log.error("instances passed over", more=len(passed) - PASSED_TOLD)
+        # The loop may fire a timer early, by up to the resolution of its clock.
+        self.follower.wake(max(self.loop.time(), self.follower.wake_at))
+        self.synchronize()
+
+    def log_skipped(self) -> None:
+        """Log the skipped entries, up to a limit: logging hundreds of entries would block the event loop."""
+        skipped = self.endpoints.skipped
+        for entry, reason in islice(skipped.items(), MAX_SKIPPED_LOGGED):
+            log.error("instance passed over", instance=entry, why=reason)
+        if len(skipped) > MAX_SKIPPED_LOGGED:
+            log.error("instances passed over", more=len(skipped) - MAX_SKIPPED_LOGGED)
 
     def log_failures(self) -> None:
         failures = self.follower.failures
-        if self.failures_seen < failures <= LOGGED_FAILURES:
-            log.warning("discovery", failed=self.follower.reason)
-        self.failures_seen = failures
+        if self.last_failures < failures <= MAX_FAILURES_LOGGED:
+            log.warning("call to discovery failed", failed=self.follower.reason)
+        self.last_failures = failures
 
     def open(self, call: Call) -> None:
         protocol = self.protocols[call] = CallProtocol(self, call)
@@ -141,12 +143,12 @@
         try:
             await self.loop.create_connection(lambda: protocol, self.address, self.port)
         except OSError as error:
-            # Refused, or no descriptor is left: either way it is tried again.
+            # Refused, or out of file descriptors: either way the follower retries.
             self.follower.ended(protocol.call, f"could not connect: {error}", self.loop.time())
-            self.follow()
+            self.synchronize()
 
     def drop(self, call: Call) -> None:
-        """Close the connection of a call, at once."""
+        """Close the connection of a call at once."""
         protocol = self.protocols.pop(call)
         connecting = self.connecting.pop(call, None)
         if connecting:
--- a/heathford/discovery/json_stream.py
+++ b/heathford/discovery/json_stream.py
@@ -1,6 +1,6 @@
-"""Splits a watch's body into JSON objects and empty lines; no I/O.
+"""Split the body of a watch into JSON objects and empty lines; no I/O.
 
-The protocol promises one object a line, but objects may also come indented, over several lines.
+The protocol specifies one object a line, but indented objects that span several lines are accepted too.
 """
 
 import re
@@ -13,44 +13,47 @@
 
 
 class JsonStream:
-    """Yields the bytes of each whole object, and ``b""`` for each empty line between objects.
+    """Yields the bytes of each complete object, and ``b""`` for each empty line between objects.
 
-    longest: bytes that an object or a line may have.
+    max_bytes: the size limit of an object and of a line.
     """
 
-    def __init__(self, longest: int) -> None:
-        self.longest = longest
-        self.line = bytearray()  # what came of a line that has not ended
-        self.lines: list[bytes] = []  # whole lines of an object that has not ended
-        self.size = 0  # of these lines, bytes
-        self.depth = 0  # of open braces in these lines
+    def __init__(self, max_bytes: int) -> None:
+        self.max_bytes = max_bytes
+        self.line = bytearray()  # the start of a line that has not ended
+        self.lines: list[bytes] = []  # the complete lines of an object that has not ended
+        self.size = 0  # bytes in these lines
+        self.depth = 0  # number of open braces in these lines
 
     @property
     def unfinished(self) -> bool:
-        """Part of an object has come, and its end has not."""
+        """Whether part of an object has arrived, and its end has not."""
         return bool(self.line or self.lines)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
-        """Raises MalformedMessageError where the bytes can't be split into objects."""
+        """Yield the objects and empty lines that end in that data. Raises MalformedMessageError."""
         first, *rest = data.split(b"\n")
         self.line += first
-        for following in rest:
+        for next_start in rest:
             line = bytes(self.line).strip()
-            self.line = bytearray(following)
-            found = self.add(line)
-            if found is not None:
-                yield found
-        if len(self.line) + self.size > self.longest:
-            raise MalformedMessageError("an object too long")
+            self.line = bytearray(next_start)
+            result = self.add_line(line)
+            if result is not None:
+                yield result
+        if len(self.line) + self.size > self.max_bytes:
+            raise MalformedMessageError("an object is longer than the limit")
 
-    def add(self, line: bytes) -> bytes | None:
-        """Take one whole line; return the object that it ends, if it does."""
+    def add_line(self, line: bytes) -> bytes | None:
+        """Add one complete line.
+
+        Returns the object that ends with it, ``b""`` for an empty line between objects, or None.
+        """
         if not line:
             if self.lines:
                 raise MalformedMessageError("an empty line inside an object")
             return b""
         if not self.lines and not line.startswith(b"{"):
-            raise MalformedMessageError("a line that begins no object")
+            raise MalformedMessageError("an object must begin with {")
         self.lines.append(line)
         self.size += len(line)
         for token in TOKENS.finditer(line):
@@ -60,6 +63,6 @@
                 self.depth -= 1
         if self.depth > 0:
             return None
-        whole = b"".join(self.lines)
+        document = b"".join(self.lines)
         self.lines, self.size, self.depth = [], 0, 0
-        return whole
+        return document
--- a/heathford/fleet/__init__.py
+++ b/heathford/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Follows the list of engines: a list, then a watch of what changes."""
+"""Keep the endpoint list current: a whole list, then a watch of its changes."""
--- a/heathford/fleet/engine_ages.py
+++ b/heathford/fleet/engine_ages.py
@@ -1,4 +1,4 @@
-"""When engines have started, on a front's own clock, from starts that discovery tells as wall clock times."""
+"""Convert engine start times from wall clock time to the monotonic clock of this front node."""
 
 from collections.abc import Iterable
 from dataclasses import dataclass
@@ -6,78 +6,85 @@
 
 from heathford.interface import Role
 
-CLOCK_BEHIND = 7_200.0  # s that the wall clock may be behind a start that is told: more is taken for nonsense
-CLOCK_AHEAD = 7_200.0  # s that it may be ahead; an engine which looks older than that is warm
-LONG_AGO = 0.0  # as a start: of an engine that is warm
+MAX_CLOCK_BEHIND = 7_200.0  # s that the wall clock may be behind a reported start; later starts are ignored
+MAX_CLOCK_AHEAD = 7_200.0  # s that the wall clock may be ahead; engines that look older than that are warm
+LONG_AGO = 0.0  # start time that stands for a warm engine
 
 
 @dataclass(frozen=True)
-class ToldStart:
-    """started: s since 1970, by the clock of the engine's machine; 0 is long ago."""
+class ReportedStart:
+    """The start of an engine as discovery or the registry reports it."""
 
     role: Role
-    started: float
+    started: float  # s since 1970, by the clock of the engine's machine; 0 stands for long ago
 
 
 class EngineAges:
-    """Wall clocks step: this machine's may be ahead as the process starts, and nothing tells by how much.
-
-    What is certain is that true time is past each start that has been told, and runs on since. Ages count by
-    that least time, but those of engines that were there before: of discovery's first list, or of what was
-    known from before, only the newest count by it, which have started within warm_after of the last; and not
-    where they are half of their role or more, or the last looks older than a clock may be wrong.
-
-    Guards against cold engines that look warm to a front whose clock is ahead: they would be pushed over.
-    Could harm by too few requests to a few warm engines, for warm_after from a front's start.
+    """Estimates how old engines are, although the wall clock of this machine may be wrong.
+
+    The wall clock can be ahead when the process starts, by an unknown amount. Certain is only that the true
+    time is later than every reported start, and advances with the monotonic clock; this gives a lower bound
+    of the true time, and so of the age of each engine. Engines that appear after the first list get their age
+    by this bound. Engines of the first list (or of a list known from before the start) get their age by the
+    wall clock, except for the newest: those that started within `warm_after` of the latest reported start.
+    That exception doesn't apply where the newest are half of the engines of their role or more, or where the
+    latest start looks older than a clock can be wrong.
+
+    Without this a cold engine looks warm to a front node whose clock is ahead, and is overloaded. The cost is
+    that a few warm engines may get too few requests for `warm_after` seconds after a front node's start.
     """
 
     def __init__(self, warm_after: float) -> None:
-        self.warm_after = warm_after  # s
-        # True time, in s since 1970, at zero on the front's clock: by the wall clock, and at least.
-        self.wall_ahead: float | None = None
-        self.least_ahead = -inf
-        self.doubted: dict[Role, None] = {}  # roles whose newest engines may be cold
-        self.first_list_taken = False
+        self.warm_after = warm_after  # s after its start from which an engine is warm
+        # The time in s since 1970 at zero on the monotonic clock: by the wall clock, and its lower bound.
+        self.wall_offset: float | None = None
+        self.min_wall_offset = -inf
+        self.doubtful_roles: dict[Role, None] = {}  # roles whose newest engines of the first list may be cold
+        self.first_list_applied = False
 
-    def told(self, starts: Iterable[ToldStart], now: float, wall: float) -> None:
-        """Before ages are asked for: what a list or a change tells.
+    def add_starts(self, starts: Iterable[ReportedStart], now: float, wall: float) -> None:
+        """Record the starts reported by a list or a change. Call it before `on_front_clock`.
 
-        now, wall: s on the front's clock, and since 1970 as this machine has it.
+        now: s on the monotonic clock; wall: s since 1970 by the clock of this machine.
 
-        The wall clock is looked at once, and time runs on by the front's own, which nobody sets: set forward
-        in service, an engine that has just started looked warm; set back, all looked new.
+        The wall clock is read only once. When it was set forward in service, an engine that had just started
+        looked warm; when it was set back, all engines looked new.
         """
-        if self.wall_ahead is None:
-            self.wall_ahead = wall - now
-        known = [start for start in starts if start.started <= wall + CLOCK_BEHIND]
-        newest = max((start.started for start in known if start.started), default=-inf)
-        self.least_ahead = max(self.least_ahead, newest - now)
-        self.wall_ahead = max(self.wall_ahead, self.least_ahead)
-        if not self.first_list_taken:
-            self.doubted = self.roles_in_doubt(known, now)
-
-    def roles_in_doubt(self, starts: list[ToldStart], now: float) -> dict[Role, None]:
-        if (self.wall_ahead or 0.0) - self.least_ahead > CLOCK_AHEAD:
+        if self.wall_offset is None:
+            self.wall_offset = wall - now
+        plausible = [start for start in starts if start.started <= wall + MAX_CLOCK_BEHIND]
+        newest = max((start.started for start in plausible if start.started), default=-inf)
+        self.min_wall_offset = max(self.min_wall_offset, newest - now)
+        self.wall_offset = max(self.wall_offset, self.min_wall_offset)
+        if not self.first_list_applied:
+            self.doubtful_roles = self.find_doubtful_roles(plausible, now)
+
+    def find_doubtful_roles(self, starts: list[ReportedStart], now: float) -> dict[Role, None]:
+        """Return the roles of which fewer than half of the engines may be cold by the lower bound."""
+        if (self.wall_offset or 0.0) - self.min_wall_offset > MAX_CLOCK_AHEAD:
             return {}
-        found: dict[Role, None] = {}
+        doubtful: dict[Role, None] = {}
         for role in Role:
             of_role = [start for start in starts if start.role is role]
-            young = sum(self.least_age(start, now) < self.warm_after for start in of_role)
-            if 2 * young < len(of_role):
-                found[role] = None
-        return found
+            new_count = sum(self.min_age(start, now) < self.warm_after for start in of_role)
+            if 2 * new_count < len(of_role):
+                doubtful[role] = None
+        return doubtful
 
-    def least_age(self, start: ToldStart, now: float) -> float:
-        """s, also where the wall clock is wrong."""
-        return now + self.least_ahead - start.started
+    def min_age(self, start: ReportedStart, now: float) -> float:
+        """Return the lower bound of the age of that engine, s."""
+        return now + self.min_wall_offset - start.started
 
-    def on_front_clock(self, start: ToldStart, now: float) -> float:
-        """When that engine has started, s; never LONG_AGO but for one that is told as such."""
+    def on_front_clock(self, start: ReportedStart, now: float) -> float:
+        """Return the start of that engine on the monotonic clock, s.
+
+        It is LONG_AGO only where it is reported as that.
+        """
         if not start.started:
             return LONG_AGO
-        age = now + (self.wall_ahead or 0.0) - start.started
-        least = self.least_age(start, now)
-        if self.first_list_taken or (start.role in self.doubted and least < self.warm_after):
-            age = min(age, least)
-        # The front's clock may have begun later than the engine: then it started before zero.
+        age = now + (self.wall_offset or 0.0) - start.started
+        lower_bound = self.min_age(start, now)
+        if self.first_list_applied or (start.role in self.doubtful_roles and lower_bound < self.warm_after):
+            age = min(age, lower_bound)
+        # The engine may have started before zero on the monotonic clock. Zero itself would mean LONG_AGO.
         return now - max(age, 0.0) or 1e-6
--- a/heathford/fleet/registry_client.py
+++ b/heathford/fleet/registry_client.py
@@ -1,4 +1,4 @@
-"""Carries list and watch calls to the registry."""
+"""Follow the endpoint list of the registry over HTTP."""
 
 import asyncio
 import socket
@@ -8,18 +8,22 @@
 import structlog
 from tornado.iostream import IOStream, StreamClosedError
 
-from heathford.fleet.list_watch import SILENCE, RegistryFollower, Lines, ListError, EndpointEntry
+from heathford.fleet.list_watch import WATCH_TIMEOUT, RegistryFollower, LineSplitter, ListError, EndpointEntry
 from heathford.wire.http1 import MalformedMessageError, Response, encode_request
 
 PATH = "/api/v1/engines"
 READ_BYTES = 65_536  # bytes read at once
-LONGEST = 16_777_216  # bytes of a list: tens of thousands of engines
+MAX_LIST_BYTES = 16_777_216  # a list of tens of thousands of engines
 
 log = structlog.get_logger()
 
 
 class RegistryClient:
-    """Follows the list at an address until it is stopped; `changed` gets every change, in order."""
+    """Follows the endpoint list of a registry until its task is cancelled.
+
+    changed: called with each change, in order, and whether it is the whole list. source: the local address to
+    connect from, or empty.
+    """
 
     def __init__(
         self,
@@ -31,53 +35,59 @@
     ) -> None:
         self.address, self.port, self.follower, self.changed = address, port, follower, changed
         self.source = source
-        self.first_list = asyncio.Event()  # the first list is there
+        self.first_list = asyncio.Event()  # set once the first whole list has been applied
 
     async def run(self) -> None:
+        """Fetch the list, then watch it; start again after each failure, with a delay."""
         while True:
             try:
                 if not self.follower.version:
                     await self.list_all()
                 await self.watch()
-            except (StreamClosedError, OSError, MalformedMessageError) as problem:
-                wait = self.follower.failed()
-                log.warning("list of engines", failed=repr(problem), again_in=round(wait, 3))
-                await asyncio.sleep(wait)
+            except (StreamClosedError, OSError, MalformedMessageError) as error:
+                delay = self.follower.next_retry_delay()
+                log.warning(
+                    "following the endpoint list failed", failed=repr(error), again_in=round(delay, 3)
+                )
+                await asyncio.sleep(delay)
 
     async def list_all(self) -> None:
         body = b"".join([part async for part in self.get(PATH)])
-        rows = self.follower.listed(body, asyncio.get_running_loop().time(), time.time())
-        for what, why in self.follower.passed.items():
-            log.error("engine passed over", engine=what, why=why)
-        self.changed(True, rows)
+        entries = self.follower.apply_list(body, asyncio.get_running_loop().time(), time.time())
+        for item, reason in self.follower.skipped.items():
+            log.error("engine passed over", engine=item, why=reason)
+        self.changed(True, entries)
         self.first_list.set()
 
     async def watch(self) -> None:
-        lines = Lines(LONGEST)
+        splitter = LineSplitter(MAX_LIST_BYTES)
         path = f"{PATH}?watch=1&allowWatchBookmarks=true&resourceVersion={self.follower.version}"
         async for part in self.get(path):
-            for line in lines.feed(part):
-                rows = self.follower.watched(line, asyncio.get_running_loop().time(), time.time())
-                if rows is None:
+            for line in splitter.feed(part):
+                entries = self.follower.apply_event(line, asyncio.get_running_loop().time(), time.time())
+                if entries is None:
                     return
-                if rows:
-                    self.changed(False, rows)
+                if entries:
+                    self.changed(False, entries)
 
     async def get(self, path: str) -> AsyncIterator[bytes]:
-        """The parts of the body as they come; raises ListError for another status than 200."""
+        """Yield the parts of the response body as they arrive.
+
+        Raises ListError for any status but 200, StreamClosedError and OSError (this includes TimeoutError).
+        """
         sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
         if self.source:
             sock.bind((self.source, 0))
         stream = IOStream(sock)
         try:
-            async with asyncio.timeout(SILENCE):
+            async with asyncio.timeout(WATCH_TIMEOUT):
                 await stream.connect((self.address, self.port))
                 await stream.write(
                     encode_request("GET", path, self.address, {"Accept": "application/json"}, b"")
                 )
-            response = Response(LONGEST)
+            response = Response(MAX_LIST_BYTES)
             while not response.done:
-                async with asyncio.timeout(SILENCE):
+                async with asyncio.timeout(WATCH_TIMEOUT):
                     data = await stream.read_bytes(READ_BYTES, partial=True)
                 for part in response.feed(data):
                     if response.status == 410:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The endpoint list's follower on a fake clock: every way a call can fail, and when a change is acted on."""
+"""DiscoveryFollower on a fake clock: each way in which a call can fail, and when a change is applied."""
 
 import json
 from collections.abc import Callable
@@ -11,9 +11,9 @@
 from hypothesis import strategies as st
 
 from heathford.discovery.follower import (
-    ANSWER_WITHIN,
-    LIST_WITHIN,
-    RETRY_MOST,
+    READ_TIMEOUT,
+    LIST_TIMEOUT,
+    RETRY_DELAY_MAX,
     WATCH_SILENCE,
     Call,
     CallKind,
@@ -25,9 +25,9 @@
 from heathford.interface import Health, Role
 from heathford.wire.http1 import MalformedMessageError
 
-TOLD_WITHIN = 6.0  # s after discovery had a change and could be reached: the page's term
-AT_ONCE = 0.25  # s after discovery's return: the shortest drain grace known
-HEARTBEAT = 2.0  # s between two empty lines of a watch
+APPLIED_WITHIN = 6.0  # s after discovery had a change and could be reached: the requirement
+DRAIN_GRACE = 0.25  # s after the end of an outage: the shortest drain grace known
+HEARTBEAT_INTERVAL = 2.0  # s between two empty lines of a watch
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
 
 
@@ -36,38 +36,38 @@
 
 
 class Discovery:
-    """A server on the fake clock. Each call takes the next behaviour of its kind, or goes well."""
+    """Discovery on a fake clock. Each call takes the next behaviour of its kind, or succeeds without one."""
 
     def __init__(self) -> None:
         self.now = 0.0
-        self.agenda: list[tuple[float, int, Callable[[], None]]] = []
-        self.order = count()
+        self.event_queue: list[tuple[float, int, Callable[[], None]]] = []
+        self.event_order = count()
         self.version = 1
         self.states = {"a": "SERVING", "b": "SERVING"}
         self.behaviours: dict[CallKind, list[str]] = {CallKind.LIST: [], CallKind.WATCH: []}
         self.indent: int | None = None
         self.call: Call | None = None
-        self.watching: Call | None = None  # the watch that hears of changes
+        self.watching: Call | None = None  # the watch that receives changes
         self.calls: list[tuple[float, CallKind]] = []
         self.known: dict[str, Health] = {}
-        self.acted: dict[tuple[str, Health], float] = {}  # when the follower first said so
+        self.applied_at: dict[tuple[str, Health], float] = {}  # when the follower first reported it, s
         self.endpoints = EndpointList({"m": (0, Role.DECODE)}, ["z"])
         self.follower = DiscoveryFollower(self.endpoints, self.changed)
 
-    # What the follower says.
+    # Called by the follower.
 
     def changed(self, change: ListChange) -> None:
-        said = {row[0].name: row[4] for row in change.entries}
+        reported = {entry[0].name: entry[4] for entry in change.entries}
         if change.complete:
-            said |= {name: Health.REMOVED for name in self.known if name not in said}
-        self.known |= said
-        for name, health in said.items():
-            self.acted.setdefault((name, health), self.now)
+            reported |= {name: Health.REMOVED for name in self.known if name not in reported}
+        self.known |= reported
+        for name, health in reported.items():
+            self.applied_at.setdefault((name, health), self.now)
 
-    # The clock.
+    # The fake clock.
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
-        heappush(self.agenda, (when, next(self.order), do))
+    def schedule(self, when: float, action: Callable[[], None]) -> None:
+        heappush(self.event_queue, (when, next(self.event_order), action))
 
     def run(self, until: float) -> None:
         while True:
@@ -75,62 +75,62 @@
                 self.call = self.follower.call
                 if self.call:
                     self.open(self.call)
-            due = self.agenda[0][0] if self.agenda else until
-            if min(due, self.follower.deadline) >= until:
+            next_event = self.event_queue[0][0] if self.event_queue else until
+            if min(next_event, self.follower.wake_at) >= until:
                 self.now = until
                 return
-            if due <= self.follower.deadline:
-                self.now, _, do = heappop(self.agenda)
-                do()
+            if next_event <= self.follower.wake_at:
+                self.now, _, action = heappop(self.event_queue)
+                action()
             else:
-                self.now = self.follower.deadline
+                self.now = self.follower.wake_at
                 self.follower.wake(self.now)
 
-    # The server.
+    # The discovery server.
 
     def open(self, call: Call) -> None:
         self.calls.append((self.now, call.kind))
         behaviours = self.behaviours[call.kind]
         behaviour = behaviours.pop(0) if behaviours else "good"
-        self.plan(call, behaviour)
+        self.respond(call, behaviour)
 
     def body(self, version: int, states: dict[str, str], complete: bool) -> bytes:
         targets = [
             {"uid": uid, "endpoint": "127.0.0.1:9000", "az": "z", "model": "m", "state": state}
             for uid, state in states.items()
         ]
-        said = {"rev": version, "all": complete, "targets": targets}
-        return json.dumps(said, indent=self.indent).encode()
+        message = {"rev": version, "all": complete, "targets": targets}
+        return json.dumps(message, indent=self.indent).encode()
 
     def send(self, call: Call, after: float, data: bytes) -> None:
-        self.at(self.now + after, lambda: self.follower.received(call, data, 1000.0, self.now))
+        self.schedule(self.now + after, lambda: self.follower.received(call, data, 1000.0, self.now))
 
     def end(self, call: Call, after: float) -> None:
-        self.at(self.now + after, lambda: self.follower.ended(call, "scripted", self.now))
+        self.schedule(self.now + after, lambda: self.follower.ended(call, "scripted", self.now))
 
-    def plan(self, call: Call, behaviour: str) -> None:
-        """What comes on that connection, and when."""
-        whole = self.body(self.version, self.states, complete=True)
-        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole) + whole
+    def respond(self, call: Call, behaviour: str) -> None:
+        """Schedule what arrives on the connection of that call."""
+        document = self.body(self.version, self.states, complete=True)
+        answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(document) + document
         is_list = call.kind is CallKind.LIST
-        good = answer if is_list else HEAD
+        complete_response = answer if is_list else HEAD
         match behaviour:
             case "good":
-                self.send(call, 0.001, good)
+                self.send(call, 0.001, complete_response)
                 if not is_list:
                     self.watching = call
-                    self.at(self.now + HEARTBEAT, lambda: self.beat(call))
+                    self.schedule(self.now + HEARTBEAT_INTERVAL, lambda: self.send_heartbeat(call))
             case "refused":
                 self.end(call, 0.001)
             case "silent":
                 pass
             case "head only":
-                self.send(call, 0.001, good[: good.index(b"\r\n\r\n") + 4])
+                self.send(call, 0.001, complete_response[: complete_response.index(b"\r\n\r\n") + 4])
             case "half":
-                part = answer[: len(answer) // 2] if is_list else HEAD + chunk(whole[: len(whole) // 2])
+                part = answer[: len(answer) // 2] if is_list else HEAD + chunk(document[: len(document) // 2])
                 self.send(call, 0.001, part)
             case "reset":
-                self.send(call, 0.001, good[:20])
+                self.send(call, 0.001, complete_response[:20])
                 self.end(call, 0.01)
             case "trickle":
                 self.send(call, 0.001, answer[:60] if is_list else HEAD + chunk(b"{"))
@@ -141,21 +141,21 @@
             case "unavailable":
                 self.send(call, 0.001, b"HTTP/1.1 503 X\r\nContent-Length: 2\r\n\r\nno")
             case "replayed":
-                old = self.body(self.version - 1, {}, complete=False)
-                self.send(call, 0.001, HEAD + chunk(old + b"\n") + (b"0\r\n\r\n" if is_list else b""))
+                replayed = self.body(self.version - 1, {}, complete=False)
+                self.send(call, 0.001, HEAD + chunk(replayed + b"\n") + (b"0\r\n\r\n" if is_list else b""))
             case "pieces":
-                for n, at in enumerate(range(0, len(answer), 7)):
-                    self.send(call, 0.01 * (n + 1), answer[at : at + 7])
+                for n, offset in enumerate(range(0, len(answer), 7)):
+                    self.send(call, 0.01 * (n + 1), answer[offset : offset + 7])
             case _:
                 raise AssertionError(behaviour)
 
-    def beat(self, call: Call) -> None:
+    def send_heartbeat(self, call: Call) -> None:
         if self.watching is call:
             self.follower.received(call, chunk(b"\n"), 1000.0, self.now)
-            self.at(self.now + HEARTBEAT, lambda: self.beat(call))
+            self.schedule(self.now + HEARTBEAT_INTERVAL, lambda: self.send_heartbeat(call))
 
     def change(self, uid: str, state: str) -> None:
-        """Discovery has it from now on, and a watch that hears says so."""
+        """Change the state of an engine at discovery, and send the change to the open watch."""
         self.version += 1
         self.states[uid] = state
         if self.watching:
@@ -165,16 +165,16 @@
 
 @pytest.fixture
 def discovery() -> Discovery:
-    found = Discovery()
-    found.follower.start(0.0)
-    return found
+    server = Discovery()
+    server.follower.start(0.0)
+    return server
 
 
-def test_the_list_is_asked_for_and_then_watched(discovery: Discovery) -> None:
+def test_the_list_is_fetched_and_then_watched(discovery: Discovery) -> None:
     discovery.run(5.0)
     assert [kind for _, kind in discovery.calls] == [CallKind.LIST, CallKind.WATCH]
     discovery.change("a", "DRAINING")
-    assert discovery.acted["a", Health.DRAINING] == 5.0
+    assert discovery.applied_at["a", Health.DRAINING] == 5.0
     discovery.run(60.0)
     assert len(discovery.calls) == 2
 
@@ -195,11 +195,11 @@
 @pytest.mark.parametrize("second", [*FAILURES, "good"])
 @pytest.mark.parametrize("first", FAILURES)
 @pytest.mark.parametrize("after", [0.0, 0.5, 2.9])
-def test_a_change_is_acted_on_in_time_whatever_failed(
+def test_a_change_is_applied_in_time_whichever_calls_failed(
     discovery: Discovery, first: str, second: str, after: float
 ) -> None:
-    """A watch fails, and the list call that repairs it as well. The change comes some time after the watch
-    was opened; nobody but a whole list tells of it."""
+    """A watch fails, and so does the call for the list that follows. The change happens some time after the
+    watch was opened, and is reported by the next whole list only."""
     discovery.run(3.0)
     discovery.behaviours[CallKind.WATCH] = [first, first]
     discovery.behaviours[CallKind.LIST] = ["good", second]
@@ -210,12 +210,12 @@
     changed_at = discovery.now
     discovery.change("a", "DRAINING")
     discovery.run(30.0)
-    assert discovery.acted["a", Health.DRAINING] - changed_at < TOLD_WITHIN - 0.5
+    assert discovery.applied_at["a", Health.DRAINING] - changed_at < APPLIED_WITHIN - 0.5
 
 
 @pytest.mark.parametrize("failure", ["refused", "silent", "head only", "half", "reset", "unavailable"])
 @pytest.mark.parametrize("outage", [0.3, 0.97, 8.0, 8.11])
-def test_after_an_outage_the_list_is_had_within_the_shortest_grace(
+def test_after_an_outage_the_list_is_applied_within_the_shortest_drain_grace(
     discovery: Discovery, failure: str, outage: float
 ) -> None:
     discovery.run(3.0)
@@ -227,68 +227,68 @@
     discovery.behaviours[CallKind.LIST] = []
     discovery.change("a", "DRAINING")
     discovery.run(20.0)
-    assert discovery.acted["a", Health.DRAINING] - (3.0 + outage) < AT_ONCE
-    assert len(discovery.calls) < 15 * (outage + 1)  # the agent is not pressed
+    assert discovery.applied_at["a", Health.DRAINING] - (3.0 + outage) < DRAIN_GRACE
+    assert len(discovery.calls) < 15 * (outage + 1)  # the agent is not overloaded
 
 
-def test_a_watch_that_falls_silent_is_told_from_one_that_rests(discovery: Discovery) -> None:
+def test_a_silent_watch_is_distinguished_from_an_idle_one(discovery: Discovery) -> None:
     discovery.run(21.0)
     assert len(discovery.calls) == 2
-    discovery.watching = None  # silent from its last beat at 20 s
+    discovery.watching = None  # silent from its last heartbeat at 20 s
     discovery.change("a", "DRAINING")
     discovery.run(40.0)
-    assert discovery.acted["a", Health.DRAINING] < 20.0 + WATCH_SILENCE + 0.1
+    assert discovery.applied_at["a", Health.DRAINING] < 20.0 + WATCH_SILENCE + 0.1
 
 
-def test_a_second_silence_while_the_first_is_repaired(discovery: Discovery) -> None:
-    """Three watches in a row say nothing, and each first list call after them gets no answer."""
+def test_several_silent_watches_in_a_row(discovery: Discovery) -> None:
+    """Three watches in a row are silent, and the first call for the list after each gets no answer."""
     discovery.run(3.0)
     discovery.behaviours[CallKind.WATCH] = ["silent"] * 3
     discovery.behaviours[CallKind.LIST] = ["silent", "good"] * 3
     discovery.watching = None
     changes = {"a": 6.0, "b": 9.3}
     for uid, when in changes.items():
-        discovery.at(when, partial(discovery.change, uid, "DRAINING"))
+        discovery.schedule(when, partial(discovery.change, uid, "DRAINING"))
     discovery.run(20.0)
     for uid, when in changes.items():
-        assert discovery.acted[uid, Health.DRAINING] - when < TOLD_WITHIN - 1.0
+        assert discovery.applied_at[uid, Health.DRAINING] - when < APPLIED_WITHIN - 1.0
 
 
-def test_a_list_in_pieces_is_taken(discovery: Discovery) -> None:
+def test_a_list_that_arrives_in_pieces_is_applied(discovery: Discovery) -> None:
     discovery.behaviours[CallKind.LIST] = ["pieces"]
     discovery.run(2.0)
     assert discovery.known == {"a": Health.ON, "b": Health.ON}
 
 
-def test_a_list_slower_than_the_first_bound_is_heard_at_last(discovery: Discovery) -> None:
-    """Each of its pieces comes in time, and all of them in 2 s."""
+def test_a_list_slower_than_the_first_time_out_is_applied(discovery: Discovery) -> None:
+    """Each piece arrives in time, and the whole list takes 2 s."""
     discovery.behaviours[CallKind.LIST] = ["silent"]
     discovery.run(0.001)
-    whole = discovery.body(1, discovery.states, complete=True)
-    answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(whole) + whole
+    document = discovery.body(1, discovery.states, complete=True)
+    answer = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(document) + document
     size = len(answer) // 20 + 1
-    asked = len(discovery.calls)
+    calls_made = len(discovery.calls)
     discovery.behaviours[CallKind.LIST] = ["silent"] * 100
-    while ("a", Health.ON) not in discovery.acted and discovery.now < 20.0:
-        if discovery.call and discovery.call.kind is CallKind.LIST and len(discovery.calls) > asked:
-            asked = len(discovery.calls)
+    while ("a", Health.ON) not in discovery.applied_at and discovery.now < 20.0:
+        if discovery.call and discovery.call.kind is CallKind.LIST and len(discovery.calls) > calls_made:
+            calls_made = len(discovery.calls)
             for n in range(20):
                 discovery.send(discovery.call, 0.1 * n, answer[n * size : (n + 1) * size])
         discovery.run(discovery.now + 0.01)
-    assert discovery.acted["a", Health.ON] < LIST_WITHIN + 4.0
+    assert discovery.applied_at["a", Health.ON] < LIST_TIMEOUT + 4.0
 
 
 @pytest.mark.parametrize("indent", [1, 4])
-def test_indented_lists_are_read_in_both_calls(discovery: Discovery, indent: int) -> None:
+def test_indented_objects_are_parsed_in_both_calls(discovery: Discovery, indent: int) -> None:
     discovery.indent = indent
     discovery.run(5.0)
     discovery.change("a", "DRAINING")
     discovery.run(5.5)
     assert discovery.known == {"a": Health.DRAINING, "b": Health.ON}
-    assert discovery.acted["a", Health.DRAINING] == 5.0 and len(discovery.calls) == 2
+    assert discovery.applied_at["a", Health.DRAINING] == 5.0 and len(discovery.calls) == 2
 
 
-def test_an_address_that_moves_during_an_outage_is_asked_at_once(discovery: Discovery) -> None:
+def test_a_new_address_is_called_at_once_during_an_outage(discovery: Discovery) -> None:
     discovery.run(3.0)
     discovery.behaviours[CallKind.LIST] = ["silent"] * 1000
     assert discovery.call
@@ -299,16 +299,16 @@
     discovery.behaviours[CallKind.LIST] = []
     discovery.follower.start(discovery.now)
     discovery.run(10.0)
-    assert discovery.acted["a", Health.DRAINING] - 9.05 < 0.01
+    assert discovery.applied_at["a", Health.DRAINING] - 9.05 < 0.01
 
 
-def test_bytes_of_a_call_that_was_given_up_are_not_read(discovery: Discovery) -> None:
+def test_bytes_of_a_dropped_call_are_ignored(discovery: Discovery) -> None:
     discovery.behaviours[CallKind.LIST] = ["silent"]
     discovery.run(0.01)
-    given_up = discovery.call
-    assert given_up
-    discovery.run(ANSWER_WITHIN + 0.01)
-    discovery.send(given_up, 0.0, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
+    dropped = discovery.call
+    assert dropped
+    discovery.run(READ_TIMEOUT + 0.01)
+    discovery.send(dropped, 0.0, b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
     discovery.run(1.0)
     assert discovery.known == {"a": Health.ON, "b": Health.ON} and not discovery.follower.failures
 
@@ -333,33 +333,33 @@
         discovery.follower.ended(discovery.call, "reset", discovery.now)
         discovery.run(discovery.now + 0.5)
 
-    def test_nothing_drained_or_gone_serves_again(self, discovery: Discovery) -> None:
+    def test_no_drained_or_removed_engine_serves_again(self, discovery: Discovery) -> None:
         self.restart(discovery)
         assert discovery.known == {"a": Health.DRAINING, "b": Health.REMOVED, "c": Health.ON}
 
-    def test_its_further_changes_count(self, discovery: Discovery) -> None:
+    def test_its_further_changes_are_applied(self, discovery: Discovery) -> None:
         self.restart(discovery)
         discovery.change("d", "SERVING")
         discovery.change("c", "DRAINING")
         assert discovery.known["c"] is Health.DRAINING and discovery.known["d"] is Health.ON
 
-    def test_once_it_is_as_far_as_before_all_it_says_counts(self, discovery: Discovery) -> None:
+    def test_once_the_newest_version_is_reached_all_states_are_applied(self, discovery: Discovery) -> None:
         self.restart(discovery)
         discovery.version = 101
         discovery.change("a", "SERVING")
         assert discovery.known["a"] is Health.ON
 
-    def test_a_change_on_an_open_watch_is_found_by_a_whole_list(self, discovery: Discovery) -> None:
-        """Dropped as replayed, it would not be heard until discovery was as far as before."""
+    def test_an_older_change_on_an_open_watch_leads_to_a_whole_list(self, discovery: Discovery) -> None:
+        """Ignored as a replay, it would have no effect until discovery reached the newest version again."""
         discovery.change("c", "DRAINING")
         discovery.run(discovery.now + 0.5)
         assert discovery.known["c"] is Health.DRAINING
 
 
-def test_the_bounds_add_up() -> None:
-    assert WATCH_SILENCE > HEARTBEAT + 0.5
-    assert WATCH_SILENCE + LIST_WITHIN + RETRY_MOST + ANSWER_WITHIN < TOLD_WITHIN - 1.0
-    assert ANSWER_WITHIN + RETRY_MOST < AT_ONCE
+def test_the_time_outs_add_up() -> None:
+    assert WATCH_SILENCE > HEARTBEAT_INTERVAL + 0.5
+    assert WATCH_SILENCE + LIST_TIMEOUT + RETRY_DELAY_MAX + READ_TIMEOUT < APPLIED_WITHIN - 1.0
+    assert READ_TIMEOUT + RETRY_DELAY_MAX < DRAIN_GRACE
 
 
 OBJECTS = st.recursive(
@@ -374,20 +374,20 @@
     st.sampled_from([None, 1, 4]),
     st.lists(st.integers(0, 300), max_size=6),
 )
-def test_objects_are_the_same_however_the_bytes_are_split(
+def test_objects_do_not_depend_on_how_the_bytes_are_split(
     objects: list[dict[str, object]], indent: int | None, cuts: list[int]
 ) -> None:
     data = b"".join(json.dumps(each, indent=indent).encode() + b"\n\n" for each in objects)
-    places = [0, *sorted(cuts), len(data)]
+    offsets = [0, *sorted(cuts), len(data)]
     stream = JsonStream(10_000)
-    found = [whole for a, b in pairwise(places) for whole in stream.feed(data[a:b])]
-    assert [json.loads(whole) for whole in found if whole] == objects
-    assert found.count(b"") == len(objects)
+    documents = [document for a, b in pairwise(offsets) for document in stream.feed(data[a:b])]
+    assert [json.loads(document) for document in documents if document] == objects
+    assert documents.count(b"") == len(objects)
     assert not stream.unfinished
 
 
 @given(st.binary(max_size=200))
-def test_nonsense_is_refused_and_never_raises_anything_else(data: bytes) -> None:
+def test_malformed_bytes_raise_no_other_error(data: bytes) -> None:
     stream = JsonStream(100)
     try:
         for _ in stream.feed(data):
--- a/tests/test_follow.py
+++ b/tests/test_follow.py
@@ -1,4 +1,4 @@
-"""The list of engines as this project's own registry tells it: entries that can't be read."""
+"""The endpoint list of the registry: malformed entries, and the ages of engines."""
 
 from datetime import UTC, datetime
 from typing import Any
@@ -9,7 +9,7 @@
 from heathford.fleet.list_watch import RegistryFollower
 from heathford.interface import Role
 
-GOOD: dict[str, Any] = {
+VALID: dict[str, Any] = {
     "name": "e1",
     "uid": "u1",
     "version": "4",
@@ -23,25 +23,25 @@
 }
 
 
-def item(**more: Any) -> dict[str, Any]:
-    told = GOOD | more
+def item(**changes: Any) -> dict[str, Any]:
+    fields = VALID | changes
     return {
-        "metadata": {"name": told["name"], "uid": told["uid"], "resourceVersion": told["version"]},
-        "spec": {key: told[key] for key in ("address", "kind", "zone", "rack", "size")},
-        "status": {"phase": told["phase"], "startTime": told["start"]},
+        "metadata": {"name": fields["name"], "uid": fields["uid"], "resourceVersion": fields["version"]},
+        "spec": {key: fields[key] for key in ("address", "kind", "zone", "rack", "size")},
+        "status": {"phase": fields["phase"], "startTime": fields["start"]},
     }
 
 
-def followed(*items: Any) -> tuple[list[str], list[str]]:
-    """Names told, and why others were passed over."""
+def names_and_reasons(*items: Any) -> tuple[list[str], list[str]]:
+    """Return the names of the applied entries, and why others were skipped."""
     follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
     body = orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": list(items)})
-    entries = follower.listed(body, 50.0, 1.8e9)
-    return [row[0].name for row in entries], list(follower.passed.values())
+    entries = follower.apply_list(body, 50.0, 1.8e9)
+    return [entry[0].name for entry in entries], list(follower.skipped.values())
 
 
 @pytest.mark.parametrize(
-    "wrong",
+    "malformed",
     [
         {"uid": 7},
         {"uid": ["u"]},
@@ -66,27 +66,26 @@
         {"version": "x"},
     ],
 )
-def test_an_entry_that_can_not_be_read_is_told_and_the_others_count(wrong: dict[str, Any]) -> None:
-    """A uid or a start that is no text raised out of the list's task, which then followed it no more."""
-    names, why = followed(item(**wrong), item(name="e2", uid="u2"))
-    assert names == ["e2"] and len(why) == 1
+def test_a_malformed_entry_is_reported_and_the_others_are_applied(malformed: dict[str, Any]) -> None:
+    """A uid or a start that was not a string raised an exception, which ended the task following the list."""
+    names, reasons = names_and_reasons(item(**malformed), item(name="e2", uid="u2"))
+    assert names == ["e2"] and len(reasons) == 1
 
 
-def test_a_start_before_this_clock_began_is_no_new_one() -> None:
+def test_a_start_before_zero_on_this_clock_is_not_new() -> None:
     follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
     body = orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": [item()]})
-    [row] = follower.listed(body, 50.0, 1.8e9)
-    assert row[6] < -1e6
+    [entry] = follower.apply_list(body, 50.0, 1.8e9)
+    assert entry[6] < -1e6
 
 
-def test_an_engine_that_has_just_started_is_young_whatever_the_wall_clock_was_set_to() -> None:
-    """What happened: the wall clock of a front is set forward by an hour in service, and an engine that
-    starts then looks an hour old, so that it is pushed over. Why: each age was taken from the wall clock as
-    it stood. What showed it: an age of 3,601 s, where the engine had started 1 s before."""
+def test_an_engine_that_has_just_started_is_new_whatever_the_wall_clock_was_set_to() -> None:
+    """Guards against an age taken from the present wall clock. After it was set forward by an hour, in
+    service, an engine that had started 1 s before had an age of 3,601 s, and was overloaded."""
     follower = RegistryFollower({"k": (0, Role.PREFILL)}, ["z"], ["r"], 1)
-    wall = datetime.fromisoformat(GOOD["start"]).timestamp() + 600.0
-    follower.listed(orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": [item()]}), 50.0, wall)
+    wall = datetime.fromisoformat(VALID["start"]).timestamp() + 600.0
+    follower.apply_list(orjson.dumps({"metadata": {"resourceVersion": "9"}, "items": [item()]}), 50.0, wall)
     started = datetime.fromtimestamp(wall + 9.0, UTC).isoformat()
     added = {"type": "ADDED", "object": item(uid="u2", name="e2", version="10", start=started)}
-    entries = follower.watched(orjson.dumps(added), 60.0, wall + 10.0 + 3_600.0)
+    entries = follower.apply_event(orjson.dumps(added), 60.0, wall + 10.0 + 3_600.0)
     assert entries and 0.0 <= 60.0 - entries[0][6] <= 1.1
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -17,8 +17,8 @@
 FOLDER = Path(__file__).parent.parent / "heathford"
 
 
-def other_customer(settings: dict[str, Any]) -> None:
-    """Other names, effects swapped, fewer tries."""
+def use_other_settings(settings: dict[str, Any]) -> None:
+    """Change the names and effects of the workloads, and allow fewer attempts."""
     settings["categories"] = [
         {**settings["categories"][0], "name": "order", "idempotency": "single_shot"},
         {**settings["categories"][1], "name": "suggest", "idempotency": "free"},
@@ -27,38 +27,40 @@
 
 
 def test_each_front_node_answers_by_its_own_settings(tmp_path: Path) -> None:
-    """One class on both, repeatable on one alone; the other's names mean nothing here."""
+    """A workload that both have may be retried at one only, and neither knows the names of the other."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         a, b, c, d = prefill("r"), decode("w"), prefill("r"), decode("w")
         async with (
-            front_node(tmp_path, a, b, name="n0") as one,
-            front_node(tmp_path, c, d, name="n1", setting=other_customer) as two,
+            front_node(tmp_path, a, b, name="n0") as first,
+            front_node(tmp_path, c, d, name="n1", setting=use_other_settings) as second,
         ):
-            for play, foreign in ((one, "order"), (two, "chat")):
-                client = play.client()
-                client.send(request("f0", request_class=foreign))
+            for setup, unknown_name in ((first, "order"), (second, "chat")):
+                client = setup.client()
+                client.send(request("f0", request_class=unknown_name))
                 assert await client.wait_for_answers(1) == [400]
-            for play, mine in ((one, "chat"), (two, "order")):
-                reader, writer = play.engines[:2]
-                client = play.client()
-                client.send(request("c0", request_class=mine))
-                (await reader.wait_for_request()).sock.sendall(READ)
-                (await writer.wait_for_request()).sock.sendall(WORDS["error"])
-                if play is one:  # may run again
+            for setup, own_name in ((first, "chat"), (second, "order")):
+                prefill_engine, decode_engine = setup.engines[:2]
+                client = setup.client()
+                client.send(request("c0", request_class=own_name))
+                (await prefill_engine.wait_for_request()).sock.sendall(READ)
+                (await decode_engine.wait_for_request()).sock.sendall(WORDS["error"])
+                if setup is first:  # its workload is idempotent
                     await until(lambda: a.posts + b.posts == 3, "a further attempt")
                 else:
                     assert await client.wait_for_answers(1) == [502] and c.posts + d.posts == 2
-            assert one.node.core.router.try_limit == 4 and two.node.core.router.try_limit == 2
-            assert two.node.core.router.retry_after == 0.0 < one.node.core.router.retry_after
-            # What one learns of an engine of the same name and number is not known to the other.
-            assert one.node.core.router.engines is not two.node.core.router.engines
-            assert one.node.core.router.prefill_fit.answers == two.node.core.router.prefill_fit.answers == 1
+            assert first.node.core.router.try_limit == 4 and second.node.core.router.try_limit == 2
+            assert second.node.core.router.retry_after == 0.0 < first.node.core.router.retry_after
+            # What one learns about an engine is unknown to the other, though both know one of that name.
+            assert first.node.core.router.engines is not second.node.core.router.engines
+            assert (
+                first.node.core.router.prefill_fit.answers == second.node.core.router.prefill_fit.answers == 1
+            )
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def changeable(value: object) -> bool:
+def is_mutable(value: object) -> bool:
     return isinstance(value, list | dict | set | deque | bytearray)
 
 
@@ -72,9 +74,9 @@
     return [importlib.import_module(name) for name in names]
 
 
-def tables() -> dict[str, str]:
-    """What stands at the level of modules and their classes and could be changed, as it reads now."""
-    found = {}
+def mutable_attributes() -> dict[str, str]:
+    """Return the text of each mutable object at the level of modules and their classes, by its path."""
+    attributes = {}
     for module in modules():
         scopes: list[ModuleType | type] = [
             module,
@@ -86,24 +88,24 @@
         ]
         for scope in scopes:
             for name, value in vars(scope).items():
-                of_enum = isinstance(scope, type) and issubclass(scope, Enum)
-                if changeable(value) and not name.startswith("__") and not of_enum:
-                    found[f"{module.__name__}.{scope.__name__}.{name}"] = repr(value)
-    return found
+                is_enum = isinstance(scope, type) and issubclass(scope, Enum)
+                if is_mutable(value) and not name.startswith("__") and not is_enum:
+                    attributes[f"{module.__name__}.{scope.__name__}.{name}"] = repr(value)
+    return attributes
 
 
-def test_tables_that_all_instances_see_are_constants(tmp_path: Path) -> None:
-    """Written in capitals, and the same after two front nodes have worked."""
-    before = tables()
+def test_shared_tables_are_constants(tmp_path: Path) -> None:
+    """They have names in capitals, and don't change while two front nodes serve requests."""
+    before = mutable_attributes()
     assert all(path.rpartition(".")[2].isupper() for path in before), before.keys()
     test_each_front_node_answers_by_its_own_settings(tmp_path)
-    assert tables() == before
+    assert mutable_attributes() == before
 
 
-def test_no_function_has_a_default_that_calls_could_share() -> None:
+def test_no_function_has_a_mutable_default() -> None:
     for module in modules():
         for scope in [module, *(v for v in vars(module).values() if isinstance(v, type))]:
             for name, value in vars(scope).items():
                 if inspect.isfunction(value):
                     defaults = [*(value.__defaults__ or ()), *(value.__kwdefaults__ or {}).values()]
-                    assert not any(map(changeable, defaults)), f"{module.__name__}.{name}"
+                    assert not any(map(is_mutable, defaults)), f"{module.__name__}.{name}"
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -1,4 +1,4 @@
-"""Discovery that is slow to answer is heard, and a drain after an outage is still noticed at once."""
+"""A slow discovery service is still followed, and a list is applied in time after an outage."""
 
 import asyncio
 
@@ -11,14 +11,14 @@
 from heathford.standin.platform import Agent, ScriptedEngine
 from heathford.wire.requests import Request
 
-WITHIN = 6.0  # s after which a change counts, whatever call failed
-GRACE = 0.25  # s: the shortest drain grace known
+LIST_DEADLINE = 6.0  # s within which a list has to be applied, whichever call failed
+DRAIN_GRACE = 0.25  # s: the shortest drain grace known
 
 
 class SlowAgent(Agent):
-    """Every answer begins that many seconds after it was asked for."""
+    """Starts each answer `delay` seconds after its request."""
 
-    delay = 0.0
+    delay = 0.0  # s
     calls = 0
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
@@ -27,49 +27,49 @@
         await super().answer(request, writer)
 
 
-async def followed(agent: SlowAgent, changes: list[ListChange]) -> DiscoveryClient:
+async def start_client(agent: SlowAgent, changes: list[ListChange]) -> DiscoveryClient:
     host, _, port = (await agent.open()).rpartition(":")
     client = DiscoveryClient(host, int(port), EndpointList({"m0": (0, Role.PREFILL)}, ["a"]), changes.append)
     client.start()
     return client
 
 
-def engine() -> ScriptedEngine:
-    made = ScriptedEngine("r", "m0", True)
-    made.address = "127.0.0.1:9"
-    return made
+def prefill_engine() -> ScriptedEngine:
+    engine = ScriptedEngine("r", "m0", True)
+    engine.address = "127.0.0.1:9"
+    return engine
 
 
 @pytest.mark.parametrize("delay", [0.11, 0.13, 0.2, 0.5, 1.0])
-def test_a_slow_agent_is_heard(delay: float) -> None:
-    async def day() -> None:
-        agent = SlowAgent(engine())
+def test_the_list_of_a_slow_agent_is_applied(delay: float) -> None:
+    async def scenario() -> None:
+        agent = SlowAgent(prefill_engine())
         agent.delay = delay
         changes: list[ListChange] = []
-        client = await followed(agent, changes)
-        assert await client.wait_for_first_list(WITHIN)
+        client = await start_client(agent, changes)
+        assert await client.wait_for_first_list(LIST_DEADLINE)
         assert len(changes) == 1 and changes[0].complete
         client.stop()
         agent.close()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("delay, within", [(0.0, GRACE), (0.5, WITHIN), (2.0, WITHIN)])
-def test_after_an_outage_the_list_is_there_in_time(delay: float, within: float) -> None:
-    """What was asked while discovery was down is never answered."""
+@pytest.mark.parametrize("delay, timeout", [(0.0, DRAIN_GRACE), (0.5, LIST_DEADLINE), (2.0, LIST_DEADLINE)])
+def test_after_an_outage_the_list_is_applied_in_time(delay: float, timeout: float) -> None:
+    """Calls made while discovery was down are never answered."""
 
-    async def day() -> None:
-        agent = SlowAgent(engine())
+    async def scenario() -> None:
+        agent = SlowAgent(prefill_engine())
         agent.silent = True
         changes: list[ListChange] = []
-        client = await followed(agent, changes)
+        client = await start_client(agent, changes)
         await asyncio.sleep(1.0)
         agent.delay, agent.silent = delay, False
-        assert await client.wait_for_first_list(within)
+        assert await client.wait_for_first_list(timeout)
         assert len(client.protocols) == 1
         client.stop()
         assert not client.protocols
         agent.close()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
