--- a/heathford/identity/__init__.py
+++ b/heathford/identity/__init__.py
@@ -1,1 +1,1 @@
-"""By what a repeat of a completion is known, and how several clients share one completion."""
+"""Recognize repeated requests by their idempotency key, share their answers, and count requests."""
--- a/heathford/identity/idempotency_table.py
+++ b/heathford/identity/idempotency_table.py
@@ -1,8 +1,8 @@
-"""Completions known by member and key, while they are out and for a while after; no I/O.
+"""Recognize repeated requests by tenant and idempotency key; no I/O.
 
-A repeat of one that is out joins it. A repeat of one that ended gets the same final answer, for `keep`
-seconds. The same key with another body is a mistake of the client's. Bounded: `most` completions are
-remembered; when there is no room, what has ended is forgotten, first what may run again, last what must not.
+A repeat of a request in progress joins it. A repeat of a request that has ended gets the same final answer,
+for `keep` seconds. The same key with another body is an error of the client. At most `most` requests are
+remembered: where the table is full, ended requests are removed, those that may run again first.
 """
 
 from enum import Enum
@@ -10,80 +10,88 @@
 from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 
-# In which order ended completions are forgotten: the later, the more a forgotten one could harm.
-FORGOTTEN = (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEYED, Effect.NON_IDEMPOTENT)
+# The order in which ended requests are removed: the later, the more harm a second run could do.
+REMOVAL_ORDER = (Effect.IDEMPOTENT, Effect.IDEMPOTENCY_KEYED, Effect.NON_IDEMPOTENT)
 
 
 class LookupResult(Enum):
+    """The state of the request with a given tenant and key."""
+
     NEW = "new"
     IN_PROGRESS = "out"
     ENDED = "ended"
-    CONFLICT = "conflict"
-    TABLE_FULL = "no room"  # to remember it: all that is remembered is out
+    CONFLICT = "conflict"  # the key was used with another body
+    TABLE_FULL = "no room"  # all requests in the table are in progress
 
 
 class IdempotencyTable:
-    """keep: s for which a final answer is given again."""
+    """The requests in progress, and those that ended lately, by tenant and idempotency key.
+
+    most: the largest number of requests. keep: s for which a final answer is repeated.
+    """
 
     def __init__(self, most: int, keep: float) -> None:
         self.most, self.keep = most, keep
         self.known: dict[tuple[int, str], tuple[bytes, Effect, SharedRequest]] = {}
-        self.ended: dict[Effect, dict[tuple[int, str], float]] = {effect: {} for effect in FORGOTTEN}
-        self.repeats = 0  # those that joined or got an answer again
+        self.ended: dict[Effect, dict[tuple[int, str], float]] = {effect: {} for effect in REMOVAL_ORDER}
+        self.repeats = 0  # requests that joined another one or got its final answer
 
     def look_up(
         self, member: int, key: str, body: bytes, now: float
     ) -> tuple[LookupResult, SharedRequest | None]:
-        """What is known of a completion; body: a digest of what was asked."""
-        self.forget(now)
-        found = self.known.get((member, key))
-        if found is None:
-            return (LookupResult.NEW if self.make_room() else LookupResult.TABLE_FULL), None
-        digest, _, shared = found
+        """Find the request with that key. body: a digest of the request body."""
+        self.remove_expired(now)
+        record = self.known.get((member, key))
+        if record is None:
+            return (LookupResult.NEW if self.ensure_capacity() else LookupResult.TABLE_FULL), None
+        digest, _, shared = record
         if digest != body:
             return LookupResult.CONFLICT, None
         self.repeats += 1
         return (LookupResult.ENDED if shared.over else LookupResult.IN_PROGRESS), shared
 
-    def add(self, member: int, key: str, body: bytes, effect: Effect, shared: SharedRequest) -> None:
-        self.known[member, key] = body, effect, shared
+    def add(self, tenant: int, key: str, body: bytes, effect: Effect, shared: SharedRequest) -> None:
+        """Add a new request in progress. body: a digest of the request body."""
+        self.known[tenant, key] = body, effect, shared
 
-    def mark_ended(self, member: int, key: str, now: float) -> None:
-        """Its final answer is there."""
-        found = self.known.get((member, key))
-        if found:
-            self.ended[found[1]][member, key] = now + self.keep
+    def mark_ended(self, tenant: int, key: str, now: float) -> None:
+        """Record that the request has its final answer."""
+        record = self.known.get((tenant, key))
+        if record:
+            self.ended[record[1]][tenant, key] = now + self.keep
 
     def restore(
-        self, member: int, key: str, body: bytes, effect: Effect, shared: SharedRequest, until: float
+        self, tenant: int, key: str, body: bytes, effect: Effect, shared: SharedRequest, expires_at: float
     ) -> None:
-        """One that an earlier start has kept; in the order of `until`."""
-        if self.make_room():
-            self.known[member, key] = body, effect, shared
-            self.ended[effect][member, key] = until
-
-    def remove(self, member: int, key: str) -> None:
-        """Nothing is out of it any more and it may run again: a repeat is a new one."""
-        found = self.known.pop((member, key), None)
-        if found:
-            self.ended[found[1]].pop((member, key), None)
-
-    def forget(self, now: float) -> None:
-        for table in self.ended.values():
-            while table:
-                name, until = next(iter(table.items()))
-                if until > now:
+        """Add an ended request from the store; call it in the order of `expires_at`."""
+        if self.ensure_capacity():
+            self.known[tenant, key] = body, effect, shared
+            self.ended[effect][tenant, key] = expires_at
+
+    def remove(self, tenant: int, key: str) -> None:
+        """Remove a request that has no attempt in flight and may run again: a repeat counts as new."""
+        record = self.known.pop((tenant, key), None)
+        if record:
+            self.ended[record[1]].pop((tenant, key), None)
+
+    def remove_expired(self, now: float) -> None:
+        """Remove the ended requests whose time is over."""
+        for expiries in self.ended.values():
+            while expiries:
+                tenant_and_key, expires_at = next(iter(expiries.items()))
+                if expires_at > now:
                     break
-                del table[name]
-                self.known.pop(name, None)
+                del expiries[tenant_and_key]
+                self.known.pop(tenant_and_key, None)
 
-    def make_room(self) -> bool:
+    def ensure_capacity(self) -> bool:
+        """Remove an ended request if the table is full; return whether another one fits in."""
         if len(self.known) < self.most:
             return True
-        for effect in FORGOTTEN:
+        for effect in REMOVAL_ORDER:
             if self.ended[effect]:
-                name = next(iter(self.ended[effect]))
-                del self.ended[effect][name]
-                self.known.pop(name, None)
+                tenant_and_key = next(iter(self.ended[effect]))
+                del self.ended[effect][tenant_and_key]
+                self.known.pop(tenant_and_key, None)
                 return True
         return False
--- a/heathford/identity/repeat_counter.py
+++ b/heathford/identity/repeat_counter.py
@@ -1,32 +1,38 @@
-"""First tries and tries again, counted apart; no I/O."""
+"""Count first requests and their repeats; no I/O."""
 
 
 class RepeatCounter:
-    """Knows the completions asked for lately by member and key, also those that were refused and so are
-    forgotten by Identities. Bounded: `most` names, the oldest is forgotten first, and none is kept beyond
-    `keep` s: a try again that late is counted as a first, which only the counts can tell."""
+    """Counts the requests of clients, and which of them are repeats.
+
+    It remembers recent requests by tenant and idempotency key, also those that were refused, which the
+    IdempotencyTable doesn't keep. At most `most` requests are remembered, and none for longer than `keep`
+    seconds: a later repeat is counted as a first request. This affects the counts only.
+    """
 
     def __init__(self, most: int, keep: float) -> None:
         self.most, self.keep = most, keep
-        self.lately: dict[tuple[int, str], float] = {}
+        self.lately: dict[tuple[int, str], float] = {}  # s on the clock of `count`, the oldest first
         self.first_requests = self.repeats = 0
 
-    def count(self, member: int, key: str, now: float, declared: int = 1) -> bool:
-        """Counts one try; whether it is a first. declared: which try its client says it is, from 1: one
-        that comes from another front is known by that alone."""
-        again = declared > 1
+    def count(self, tenant: int, key: str, now: float, declared: int = 1) -> bool:
+        """Count one request; return whether it is a first one.
+
+        declared: its number as its client states it, from 1. A repeat of a request that was sent to another
+        front node is recognized by this number only.
+        """
+        is_repeat = declared > 1
         if key:
-            name = member, key
-            at = self.lately.pop(name, None)
-            again = again or (at is not None and now - at < self.keep)
+            tenant_and_key = tenant, key
+            counted_at = self.lately.pop(tenant_and_key, None)
+            is_repeat = is_repeat or (counted_at is not None and now - counted_at < self.keep)
             while self.lately and (
                 len(self.lately) >= self.most or (now - next(iter(self.lately.values())) >= self.keep)
             ):
                 del self.lately[next(iter(self.lately))]
             if self.most:
-                self.lately[name] = now
-        if again:
+                self.lately[tenant_and_key] = now
+        if is_repeat:
             self.repeats += 1
         else:
             self.first_requests += 1
-        return not again
+        return not is_repeat
--- a/heathford/identity/shared_request.py
+++ b/heathford/identity/shared_request.py
@@ -1,4 +1,4 @@
-"""One completion, listened to by any number of clients; no I/O. It is the sink that the core knows."""
+"""A request whose answer goes to any number of clients; no I/O."""
 
 from collections.abc import Callable, Mapping
 from typing import Any
@@ -8,74 +8,79 @@
 
 
 class SharedRequest:
-    """What came of a completion so far, and who listens. A late listener gets the text from the start.
+    """The answer to a request so far, and the response writers that receive it.
 
-    ended: called once it has its final answer, or was let go.
+    It is the response writer that the core knows. A writer that joins late gets the text from the start.
+
+    ended: called once the request has its final answer or has been abandoned.
     """
 
     def __init__(self, ended: Callable[[], None] = lambda: None) -> None:
         self.request: AcceptedRequest | None = None
-        self.name = ""  # as clients are told it, once it is taken
-        self.final_fields: Mapping[str, Any] = {}  # how it ended, in plain values
-        self.listeners: dict[ResponseWriter, None] = {}
-        self.parts: list[str] = []
-        self.final: Callable[[ResponseWriter], None] | None = None
+        self.name = ""  # as clients receive it, once the request has been accepted
+        self.final_fields: Mapping[str, Any] = {}  # the final answer as JSON fields
+        self.writers: dict[ResponseWriter, None] = {}
+        self.parts: list[str] = []  # of the text
+        self.send_final: Callable[[ResponseWriter], None] | None = None
         self.ended = ended
-        self.was_rate_limited = self.was_finished = False  # how it ended: rate-limited, finished, or neither
+        self.was_rate_limited = self.was_finished = False  # both are false after an abort
 
     @property
     def over(self) -> bool:
-        return self.final is not None
+        """Whether it has its final answer."""
+        return self.send_final is not None
 
-    def join(self, listener: ResponseWriter) -> None:
+    def join(self, writer: ResponseWriter) -> None:
+        """Add a response writer: it gets the text so far, and what follows or the final answer."""
         if self.parts:
-            listener.tokens("".join(self.parts))
-        if self.final:
-            self.final(listener)
+            writer.tokens("".join(self.parts))
+        if self.send_final:
+            self.send_final(writer)
         else:
-            self.listeners[listener] = None
+            self.writers[writer] = None
 
-    def leave(self, listener: ResponseWriter) -> bool:
-        """True where nobody listens any more."""
-        self.listeners.pop(listener, None)
-        return not self.listeners
+    def leave(self, writer: ResponseWriter) -> bool:
+        """Remove a response writer; return whether none is left."""
+        self.writers.pop(writer, None)
+        return not self.writers
 
     def abandon(self) -> None:
-        """Ends it without an answer: nobody wants it."""
+        """End the request because no client wants its answer any more."""
         if not self.over:
             if self.request:
                 self.request.client_left()
             self.aborted("ended by its client")
 
-    # heathford.core.protocols.ResponseWriter
+    # ResponseWriter, called by the core.
 
     def client_connected(self) -> bool:
         return True
 
     def tokens(self, text: str) -> None:
         self.parts.append(text)
-        for listener in list(self.listeners):
-            listener.tokens(text)
+        for writer in list(self.writers):
+            writer.tokens(text)
 
     def finished(self, reason: str, usage: Mapping[str, Any]) -> None:
         self.was_finished = True
         self.final_fields = {"final": "finished", "reason": reason, "usage": usage}
-        self.settle(lambda listener: listener.finished(reason, usage))
+        self.end(lambda writer: writer.finished(reason, usage))
 
     def rate_limited(self, retry_after: float) -> None:
         self.was_rate_limited = True
         self.final_fields = {"final": "rate-limited"}
-        self.settle(lambda listener: listener.rate_limited(retry_after))
+        self.end(lambda writer: writer.rate_limited(retry_after))
 
     def aborted(self, why: str) -> None:
         self.final_fields = {"final": "aborted", "why": why}
-        self.settle(lambda listener: listener.aborted(why))
+        self.end(lambda writer: writer.aborted(why))
 
-    def settle(self, final: Callable[[ResponseWriter], None]) -> None:
-        self.final = final
-        listeners, self.listeners = self.listeners, {}
+    def end(self, send_final: Callable[[ResponseWriter], None]) -> None:
+        """Give the final answer to each response writer."""
+        self.send_final = send_final
+        writers, self.writers = self.writers, {}
         try:
-            for listener in listeners:
-                final(listener)
+            for writer in writers:
+                send_final(writer)
         finally:
             self.ended()
