--- a/heathford/tls/__init__.py
+++ b/heathford/tls/__init__.py
@@ -1,1 +1,1 @@
-"""Keys for TLS: checked before they are used, changed in service, and watched as they age."""
+"""TLS keys and certificates: validation before use, rotation in service, and expiry warnings."""
--- a/heathford/tls/files.py
+++ b/heathford/tls/files.py
@@ -1,4 +1,4 @@
-"""Reads keys from the files that the script names, and makes and renews the TLS contexts made of them."""
+"""Load TLS keys from the files that the script names, and renew the TLS contexts when they change."""
 
 import asyncio
 import ssl
@@ -8,19 +8,20 @@
 import structlog
 
 from heathford.script.script import LINES, Declared, Mistake, Script
-from heathford.tls.keys import Pem, Purpose, Step, Turnover, faults, utc
+from heathford.tls.keys import Action, KeyRotation, Pem, Purpose, find_problems, utc_now
 
-LOOK = 2.0  # s between two looks at the files: one stat each
-ALPN_PROTOCOLS = ["http/1.1"]  # for ALPN: all that is spoken here, sessions included
-NEEDED = {"none": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
+POLL_INTERVAL = 2.0  # s between two checks for changes: one stat call for each file
+ALPN_PROTOCOLS = ["http/1.1"]  # sessions begin as HTTP/1.1 too
+VERIFY_MODES = {"none": ssl.CERT_NONE, "optional": ssl.CERT_OPTIONAL, "required": ssl.CERT_REQUIRED}
 
 log = structlog.get_logger()
 
 
 class KeyFiles:
-    """The keys of one purpose. changed: gets each new context.
+    """The certificate, key and trusted authorities of one purpose, and the TLS context made of them.
 
-    folder: what the paths are relative to. clients: whether certificates are asked of clients.
+    folder: the folder that the paths are relative to. clients: whether clients need a certificate: "none",
+    "optional" or "required". changed: called with each new context.
     """
 
     def __init__(
@@ -35,27 +36,28 @@
     ) -> None:
         self.paths = [folder / name if name else None for name in (certificate, key, authority)]
         self.purpose, self.clients, self.changed = purpose, clients, changed
-        self.turnover = Turnover(purpose)
-        self.marks: object = None  # of the files when they were last read
+        self.rotation = KeyRotation(purpose)
+        self.file_stats: object = None  # of the files when they were last read
         self.context: ssl.SSLContext | None = None
 
     def read(self) -> Pem | str:
+        """Return the contents of the files, or why they can't be read."""
         try:
             return Pem(*(path.read_bytes() if path else b"" for path in self.paths))
-        except OSError as problem:
-            return f"can't be read: {problem}"
+        except OSError as error:
+            return f"can't be read: {error}"
 
     def made(self) -> ssl.SSLContext:
-        """Raises ssl.SSLError or OSError."""
-        serving = self.purpose is Purpose.SERVER
-        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if serving else ssl.PROTOCOL_TLS_CLIENT)
+        """Return a TLS context made of the files. Raises ssl.SSLError and OSError."""
+        is_server = self.purpose is Purpose.SERVER
+        context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT)
         context.minimum_version = ssl.TLSVersion.TLSv1_2
         context.set_alpn_protocols(ALPN_PROTOCOLS)
-        if serving:
-            # A session resumed by a ticket would outlive what its client's certificate was checked against.
+        if is_server:
+            # Resumption by a ticket would skip the check of the client's certificate against new authorities.
             context.num_tickets = 0
             context.options |= ssl.OP_NO_TICKET
-            context.verify_mode = NEEDED[self.clients]
+            context.verify_mode = VERIFY_MODES[self.clients]
         certificate, key, authority = self.paths
         if certificate and key:
             context.load_cert_chain(certificate, key)
@@ -63,55 +65,65 @@
             context.load_verify_locations(authority)
         return context
 
-    def reload(self) -> Step:
-        """Takes what the files hold now, if it is new and good."""
-        found = self.read()
-        step, why = self.turnover.look(found, utc())
-        if step is Step.TAKE and isinstance(found, Pem):
+    def reload(self) -> Action:
+        """Check the files, and use their contents if they are new and valid."""
+        contents = self.read()
+        action, reasons = self.rotation.check(contents, utc_now())
+        if action is Action.INSTALL and isinstance(contents, Pem):
             try:
                 context = self.made()
-            except (ssl.SSLError, OSError) as problem:
-                step, why = self.turnover.refuse(found, [str(problem)], utc())
+            except (ssl.SSLError, OSError) as exc:
+                action, reasons = self.rotation.reject(contents, [str(exc)], utc_now())
             else:
-                if self.read() != found:  # written while it was read: what was made of it was never checked
-                    self.marks = None
-                    return Step.NOTHING
-                self.turnover.take(found)
+                if self.read() != contents:  # written meanwhile: the context may differ from what was checked
+                    self.file_stats = None
+                    return Action.NONE
+                self.rotation.mark_installed(contents)
                 self.context = context
                 self.changed(context)
-        if step in (Step.REFUSE, Step.EXPIRED):
-            log.error(step.value, use=self.purpose.value, files=self.names, why=list(why))
-        elif step is Step.AGEING:
-            log.warning(step.value, use=self.purpose.value, files=self.names, why=list(why))
-        elif step is Step.TAKE and self.turnover.taken > 1:
+        if action in (Action.REJECT, Action.WARN_EXPIRED):
+            log.error(action.value, use=self.purpose.value, files=self.names, why=list(reasons))
+        elif action is Action.WARN_EXPIRING:
+            log.warning(action.value, use=self.purpose.value, files=self.names, why=list(reasons))
+        elif action is Action.INSTALL and self.rotation.installations > 1:
             log.info("new keys in use", use=self.purpose.value, files=self.names)
-        return step
+        return action
 
     @property
     def names(self) -> list[str]:
+        """The paths of the files."""
         return [str(path) for path in self.paths if path]
 
     def stat(self) -> object:
+        """Return a value that changes when a file changes."""
         try:
             return [(s.st_mtime_ns, s.st_size, s.st_ino) for s in (p.stat() for p in self.paths if p)]
-        except OSError as problem:
-            return repr(problem)
+        except OSError as error:
+            return repr(error)
 
     async def watch(self) -> None:
-        """Looks for ever: at once where a file has changed, else now and then for its age."""
+        """Reload the files when they change, until cancelled.
+
+        They are also reloaded at each check while their contents are rejected, and once a minute to check for
+        expiry.
+        """
         loop = asyncio.get_running_loop()
         read_at = loop.time()
-        self.marks = self.stat()
+        self.file_stats = self.stat()
         while True:
-            await asyncio.sleep(LOOK)
-            marks = self.stat()
-            if marks != self.marks or self.turnover.refused is not None or loop.time() - read_at > 60.0:
-                self.marks, read_at = marks, loop.time()
+            await asyncio.sleep(POLL_INTERVAL)
+            file_stats = self.stat()
+            if (
+                file_stats != self.file_stats
+                or self.rotation.rejected is not None
+                or loop.time() - read_at > 60.0
+            ):
+                self.file_stats, read_at = file_stats, loop.time()
                 self.reload()
 
 
 def keys_from_script(script: Script, word: str) -> KeyFiles | None:
-    """Those that the script declares by that word."""
+    """Return the keys that the script declares with that word, if it does."""
     calls = script.all(word)
     if not calls:
         return None
@@ -124,20 +136,23 @@
 
 
 def find_key_errors(script: Script) -> list[Mistake]:
-    """What is wrong with the keys that a script names, at the lines that name them."""
-    found = []
+    """Return the problems of the keys that a script names, with the lines that name them."""
+    mistakes = []
     for word in ("service_tls", "stand_in_tls", "engine_tls"):
         for declared in script.all(word):
-            found += [
+            mistakes += [
                 Mistake(
-                    declared.file, declared.values[LINES].get(name, declared.line), f"{word}: {name}: {what}"
+                    declared.file,
+                    declared.values[LINES].get(name, declared.line),
+                    f"{word}: {name}: {problem}",
                 )
-                for name, what in declared_faults(script, declared)
+                for name, problem in find_declared_problems(script, declared)
             ]
-    return sorted(found, key=lambda m: m.line)
+    return sorted(mistakes, key=lambda mistake: mistake.line)
 
 
-def declared_faults(script: Script, declared: Declared) -> list[tuple[str, str]]:
+def find_declared_problems(script: Script, declared: Declared) -> list[tuple[str, str]]:
+    """Return the problems of one declaration, each with the field that it concerns."""
     if bool(declared.certificate) != bool(declared.key):
         return [("certificate", "certificate and key go together: both or neither")]
     if declared.values.get("clients", "none") != "none" and not declared.authority:
@@ -148,12 +163,12 @@
     for name, path in zip(("certificate", "key", "authority"), keys.paths, strict=True):
         try:
             data.append(path.read_bytes() if path else b"")
-        except OSError as problem:
-            return [(name, f"{path} can't be read: {problem.strerror}")]
-    wrong = faults(Pem(*data), keys.purpose, utc())
-    if not wrong:
+        except OSError as error:
+            return [(name, f"{path} can't be read: {error.strerror}")]
+    problems = find_problems(Pem(*data), keys.purpose, utc_now())
+    if not problems:
         try:
             keys.made()
-        except (ssl.SSLError, OSError) as problem:
-            return [("certificate", f"can't be used: {problem}")]
-    return wrong
+        except (ssl.SSLError, OSError) as error:
+            return [("certificate", f"can't be used: {error}")]
+    return problems
