--- a/heathford/identity/idempotency_table.py
+++ b/heathford/identity/idempotency_table.py
@@ -1,8 +1,8 @@
 """Recognize repeated requests by tenant and idempotency key; no I/O.
 
 A repeat of a request in progress joins it. A repeat of a request that has ended gets the same final answer,
-for `keep` seconds. The same key with another body is an error of the client. At most `most` requests are
-remembered: where the table is full, ended requests are removed, those that may run again first.
+for a limited time. The same key with another body is an error of the client. The number of requests is
+limited too: where the table is full, ended requests are removed, those that may run again first.
 """
 
 from enum import Enum
--- a/heathford/identity/repeat_counter.py
+++ b/heathford/identity/repeat_counter.py
@@ -5,8 +5,10 @@
     """Counts the requests of clients, and which of them are repeats.
 
     It remembers recent requests by tenant and idempotency key, also those that were refused, which the
-    IdempotencyTable doesn't keep. At most `most` requests are remembered, and none for longer than `keep`
-    seconds: a later repeat is counted as a first request. This affects the counts only.
+    IdempotencyTable doesn't keep. A repeat that comes too late, or after too many other requests, is counted
+    as a first request. This affects the counts only.
+
+    most: the largest number of requests. keep: s for which a request is remembered.
     """
 
     def __init__(self, most: int, keep: float) -> None:
