--- a/heathford/discovery/follower.py
+++ b/heathford/discovery/follower.py
@@ -101,9 +101,7 @@
         self.timer_at = inf  # when the open call times out, or the next one is made
         self.expired_late_lists = 0  # in a row
         self.failures = 0  # in a row
-        self.slow_lists = (
-            0  # whole lists in a row that exceeded their time-out while they were still arriving
-        )
+        self.slow_lists = 0  # in a row: lists that exceeded list_timeout while they were still arriving
         self.has_list = False  # a whole list was applied since the start or the last change of address
         self.reason = ""  # why the last call failed
         self.call_started_at = 0.0
--- a/heathford/fleet/list_watch.py
+++ b/heathford/fleet/list_watch.py
@@ -53,9 +53,8 @@
         self.version = 0  # of the list held; 0 before the first
         self.endpoints: dict[str, Endpoint] = {}
         self.versions: dict[str, int] = {}  # of each engine, by uid
-        self.started: dict[
-            tuple[str, str], float
-        ] = {}  # s on the front node's clock, by uid and reported start
+        # Starts of engines, s on the front node's clock, by uid and reported start.
+        self.started: dict[tuple[str, str], float] = {}
         self.skipped: dict[str, str] = {}  # reason by the text of each skipped item
         self.failures = 0  # in a row
         self.ages = EngineAges(warm_after)
--- a/tests/test_engine_ages.py
+++ b/tests/test_engine_ages.py
@@ -7,13 +7,13 @@
 from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Role
 
-TRUE_TIME = 1_700_000_000.0  # s since 1970 at zero on the front's clock
+TRUE_TIME = 1_700_000_000.0  # s since 1970 at zero on the front node's clock
 KINDS = {"m0": (0, Role.PREFILL), "m1": (1, Role.DECODE)}
 CLOCK_AHEAD = [0.0, 5.0, 3_600.0]  # s that the wall clock is ahead
 
 
 def target(uid: str, started: float, model: str = "m0", state: str = "SERVING") -> dict[str, Any]:
-    """started: s on the front's clock."""
+    """started: s on the front node's clock."""
     return {
         "uid": uid,
         "endpoint": "127.0.0.1:9",
--- a/tests/test_instances.py
+++ b/tests/test_instances.py
@@ -122,7 +122,7 @@
     ],
 )
 def test_a_malformed_entry_is_reported_and_the_others_are_applied(malformed: dict[str, Any]) -> None:
-    """A uid that was not a string raised an exception, which ended the watch for good."""
+    """A uid that was not a string raised an exception, which ended the watch permanently."""
     endpoints = EndpointList(KINDS, ["a", "b"])
     change = endpoints.apply(message_bytes(1, False, {**target("s"), **malformed}, target("t")), 50.0, 1000.0)
     assert summary(change) == (False, [("t", Health.ON)]) and len(endpoints.skipped) == 1
@@ -168,10 +168,7 @@
         return change[1][0][6], change[1][0][0].port
 
     assert start_and_port(1000.0, boot_ms=990_000) == (40.0, 9000)
-    assert start_and_port(2000.0, boot_ms=990_000) == (
-        40.0,
-        9000,
-    )  # a clock that is set doesn't change the age
+    assert start_and_port(2000.0, boot_ms=990_000) == (40.0, 9000)  # the wall clock was set
     assert start_and_port(1000.0, boot_ms=995_000, endpoint="127.0.0.1:9001") == (45.0, 9001)
     assert start_and_port(1000.0, boot_ms=0) == (0.0, 9000)
     assert start_and_port(1000.0, boot_ms=930_000) == (-20.0, 9000)  # before zero on this clock: not new
@@ -208,16 +205,12 @@
     one, two = FakeConnection(pools, 1), FakeConnection(pools, 1)
     pools.add_idle(one.pool, one, 1.0)
     pools.add_idle(two.pool, two, 2.0)
-    assert (
-        pools.take_idle(pools.pool("h", 1), 2.1) is one
-    )  # the newer one has not been idle for reuse_delay yet
+    assert pools.take_idle(pools.pool("h", 1), 2.1) is one  # the newer one is within its reuse_delay
     assert pools.take_idle(pools.pool("h", 1), 3.0) is two
     assert pools.take_idle(pools.pool("h", 1), 3.0) is None
     pools.add_idle(one.pool, one, 3.0)
-    three, four = (
-        FakeConnection(pools, 2),
-        FakeConnection(pools, 3),
-    )  # at the limit: one idle connection is closed
+    # At the limit of three, an idle connection is closed.
+    three, four = FakeConnection(pools, 2), FakeConnection(pools, 3)
     assert one.is_closed and not two.is_closed and pools.open == 3
     assert not pools.reserve(pools.pool("h", 4))
     for connection in (two, three, four):
