--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -109,7 +109,7 @@
 
 def forgets_keys() -> None:
     """A repeat is taken for a new completion."""
-    idempotency_table.IdempotencyTable.look_up = lambda self, member, key, body, now: (  # type: ignore[method-assign]
+    idempotency_table.IdempotencyTable.look_up = lambda self, tenant, key, body, now: (  # type: ignore[method-assign]
         idempotency_table.LookupResult.NEW,
         None,
     )
--- a/heathford/identity/idempotency_table.py
+++ b/heathford/identity/idempotency_table.py
@@ -27,21 +27,21 @@
 class IdempotencyTable:
     """The requests in progress, and those that ended lately, by tenant and idempotency key.
 
-    most: the largest number of requests. keep: s for which a final answer is repeated.
+    max_requests: the largest number of requests. retention: s for which a final answer is repeated.
     """
 
-    def __init__(self, most: int, keep: float) -> None:
-        self.most, self.keep = most, keep
+    def __init__(self, max_requests: int, retention: float) -> None:
+        self.max_requests, self.retention = max_requests, retention
         self.known: dict[tuple[int, str], tuple[bytes, Effect, SharedRequest]] = {}
         self.ended: dict[Effect, dict[tuple[int, str], float]] = {effect: {} for effect in REMOVAL_ORDER}
         self.repeats = 0  # requests that joined another one or got its final answer
 
     def look_up(
-        self, member: int, key: str, body: bytes, now: float
+        self, tenant: int, key: str, body: bytes, now: float
     ) -> tuple[LookupResult, SharedRequest | None]:
         """Find the request with that key. body: a digest of the request body."""
         self.remove_expired(now)
-        record = self.known.get((member, key))
+        record = self.known.get((tenant, key))
         if record is None:
             return (LookupResult.NEW if self.ensure_capacity() else LookupResult.TABLE_FULL), None
         digest, _, shared = record
@@ -58,7 +58,7 @@
         """Record that the request has its final answer."""
         record = self.known.get((tenant, key))
         if record:
-            self.ended[record[1]][tenant, key] = now + self.keep
+            self.ended[record[1]][tenant, key] = now + self.retention
 
     def restore(
         self, tenant: int, key: str, body: bytes, effect: Effect, shared: SharedRequest, expires_at: float
@@ -86,7 +86,7 @@
 
     def ensure_capacity(self) -> bool:
         """Remove an ended request if the table is full; return whether another one fits in."""
-        if len(self.known) < self.most:
+        if len(self.known) < self.max_requests:
             return True
         for effect in REMOVAL_ORDER:
             if self.ended[effect]:
--- a/heathford/identity/repeat_counter.py
+++ b/heathford/identity/repeat_counter.py
@@ -8,12 +8,12 @@
     IdempotencyTable doesn't keep. A repeat that comes too late, or after too many other requests, is counted
     as a first request. This affects the counts only.
 
-    most: the largest number of requests. keep: s for which a request is remembered.
+    max_requests: the largest number of requests. retention: s for which a request is remembered.
     """
 
-    def __init__(self, most: int, keep: float) -> None:
-        self.most, self.keep = most, keep
-        self.lately: dict[tuple[int, str], float] = {}  # s on the clock of `count`, the oldest first
+    def __init__(self, max_requests: int, retention: float) -> None:
+        self.max_requests, self.retention = max_requests, retention
+        self.last_seen: dict[tuple[int, str], float] = {}  # s on the clock of `count`, the oldest first
         self.first_requests = self.repeats = 0
 
     def count(self, tenant: int, key: str, now: float, declared: int = 1) -> bool:
@@ -25,14 +25,15 @@
         is_repeat = declared > 1
         if key:
             tenant_and_key = tenant, key
-            counted_at = self.lately.pop(tenant_and_key, None)
-            is_repeat = is_repeat or (counted_at is not None and now - counted_at < self.keep)
-            while self.lately and (
-                len(self.lately) >= self.most or (now - next(iter(self.lately.values())) >= self.keep)
+            counted_at = self.last_seen.pop(tenant_and_key, None)
+            is_repeat = is_repeat or (counted_at is not None and now - counted_at < self.retention)
+            while self.last_seen and (
+                len(self.last_seen) >= self.max_requests
+                or (now - next(iter(self.last_seen.values())) >= self.retention)
             ):
-                del self.lately[next(iter(self.lately))]
-            if self.most:
-                self.lately[tenant_and_key] = now
+                del self.last_seen[next(iter(self.last_seen))]
+            if self.max_requests:
+                self.last_seen[tenant_and_key] = now
         if is_repeat:
             self.repeats += 1
         else:
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -72,7 +72,7 @@
     ) -> None:
         self.core, self.offers, self.room, self.shares = core, offers, room, shares
         self.identities, self.now, self.later = identities, now, later
-        self.tries = RepeatCounter(identities.most, identities.keep)
+        self.tries = RepeatCounter(identities.max_requests, identities.retention)
         self.most_out, self.most_waiting = most_out, most_waiting
         self.retry_after = RETRY_AFTER
         self.memory: Memory | None = None
--- a/heathford/standin/process.py
+++ b/heathford/standin/process.py
@@ -51,7 +51,7 @@
             raise RuntimeError("the stand-ins' keys can't be used")
         among = None
         if fetch:
-            among = fetch.made()
+            among = fetch.make_context()
             among.check_hostname = False  # states are fetched by address; the authority is still checked
         engine.secure(serve.context, among)
     if not warm:
--- a/heathford/tls/files.py
+++ b/heathford/tls/files.py
@@ -47,7 +47,7 @@
         except OSError as error:
             return f"can't be read: {error}"
 
-    def made(self) -> ssl.SSLContext:
+    def make_context(self) -> ssl.SSLContext:
         """Return a TLS context made of the files. Raises ssl.SSLError and OSError."""
         is_server = self.purpose is Purpose.SERVER
         context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER if is_server else ssl.PROTOCOL_TLS_CLIENT)
@@ -71,7 +71,7 @@
         action, reasons = self.rotation.check(contents, utc_now())
         if action is Action.INSTALL and isinstance(contents, Pem):
             try:
-                context = self.made()
+                context = self.make_context()
             except (ssl.SSLError, OSError) as exc:
                 action, reasons = self.rotation.reject(contents, [str(exc)], utc_now())
             else:
@@ -168,7 +168,7 @@
     problems = find_problems(Pem(*data), keys.purpose, utc_now())
     if not problems:
         try:
-            keys.made()
+            keys.make_context()
         except (ssl.SSLError, OSError) as error:
             return [("certificate", f"can't be used: {error}")]
     return problems
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -261,7 +261,7 @@
     memory.restore(served.desk.identities, asyncio.get_running_loop().time())
     await memory.begin(served.core.tally)
     served.desk.memory = memory
-    served.desk.identities.most = 100_000
+    served.desk.identities.max_requests = 100_000
     assert memory.store
     shelf = Shelf(folder / "files", memory.store, 1 << 20, 4 << 20)
     runner = Runner(served.desk, memory.store, shelf, asyncio.get_running_loop().time)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -181,7 +181,7 @@
         )
     ]
     assert seen == [True, False, True, True, True, False, True, True, True, True]
-    assert (tries.first_requests, tries.repeats) == (8, 2) and len(tries.lately) <= 3
+    assert (tries.first_requests, tries.repeats) == (8, 2) and len(tries.last_seen) <= 3
 
 
 # The version before: its library, and its service.
