--- a/benchmarks/profiled_front.py
+++ b/benchmarks/profiled_front.py
@@ -1,4 +1,4 @@
-"""The command line under a profiler: python -m benchmarks.profiled_front FILE front …"""
+"""Run the command line under cProfile: python -m benchmarks.profiled_front FILE front …."""
 
 import cProfile
 import sys
--- a/heathford/__init__.py
+++ b/heathford/__init__.py
@@ -1,3 +1,3 @@
-"""A router for language-model completions whose reading and writing run on separate engines."""
+"""A request router for language-model serving with separate prefill and decode engines."""
 
 __version__ = "0.2.0"
--- a/heathford/child_signals.py
+++ b/heathford/child_signals.py
@@ -1,4 +1,4 @@
-"""Signals to child processes that leave their exit status to asyncio."""
+"""Send signals to child processes without taking their exit status from asyncio."""
 
 import asyncio
 import os
@@ -7,10 +7,10 @@
 
 
 def send_signal(process: asyncio.subprocess.Process, number: signal.Signals) -> None:
-    """Send a signal to a child, if it still runs.
+    """Send a signal to a child process, if it is still running.
 
-    Process.send_signal looks first whether the child has ended, and so takes the status of one that has from
-    asyncio's watcher, which then reports 255.
+    Process.send_signal first polls whether the child has ended, and so may take its exit status away from
+    asyncio's child watcher, which then reports 255.
     """
     if process.returncode is None:
         with suppress(ProcessLookupError):
--- a/heathford/early_signals.py
+++ b/heathford/early_signals.py
@@ -1,24 +1,24 @@
-"""Signals that come before the program can act on them: kept until it can, instead of ending it."""
+"""Queue signals that arrive while the program is loaded, instead of being ended by them."""
 
 import signal
 from types import FrameType
 
-HELD = (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)
+QUEUED_SIGNALS = (signal.SIGHUP, signal.SIGTERM, signal.SIGUSR1)
 
 
 class PendingSignals:
-    """What has come since `hold`; nothing else is done about it."""
+    """Records the signals received since `install`, in order."""
 
     def __init__(self) -> None:
         self.received: list[signal.Signals] = []
 
     def install(self) -> None:
-        """Guards against a SIGHUP while modules are loaded, whose default ends a process. An event loop's own
-        handlers take the place of these."""
-        for number in HELD:
-            signal.signal(number, self.keep)
+        """Replace the default actions, which end the process, until an event loop installs its handlers."""
+        for number in QUEUED_SIGNALS:
+            signal.signal(number, self.queue)
 
-    def keep(self, number: int, frame: FrameType | None) -> None:
+    def queue(self, number: int, frame: FrameType | None) -> None:
+        """Record the signal; the handler that `install` sets."""
         self.received.append(signal.Signals(number))
 
 
--- a/heathford/event_loop.py
+++ b/heathford/event_loop.py
@@ -1,8 +1,8 @@
-"""The event loop of a front node: calls that the system refuses for a moment are made again.
+"""The event loop of a front node, which retries system calls that fail for want of memory.
 
-asyncio ends a connection for any error of send(2) or recv(2), leaves one unread whose epoll_ctl(2) has
-failed, and takes a connect(2) that was put off for one on its way. With ENOBUFS, ENOMEM, ENOSPC and EAGAIN
-nothing has happened to the connection.
+asyncio closes a connection after any error of send(2) or recv(2), never reads one whose epoll_ctl(2) has
+failed, and takes a connect(2) that failed with EAGAIN for one in progress. After ENOBUFS, ENOMEM, ENOSPC or
+EAGAIN, however, the connection is unchanged.
 """
 
 import asyncio
@@ -14,138 +14,142 @@
 from contextlib import suppress
 from typing import Any
 
-NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-NOT_WATCHED = (errno.ENOMEM, errno.ENOSPC)
-AGAIN = 0.01  # s between two tries to have a descriptor watched
-REST = 0.005  # s between two turns while sends or reads are refused: small beside what an event may take
-LOOP_TRIES = 25  # to have an event loop
-LOOP_AGAIN = 0.02  # s between two of them
+MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)  # of send(2) and recv(2)
+WATCH_ERRORS = (errno.ENOMEM, errno.ENOSPC)  # of epoll_ctl(2)
+WATCH_RETRY_INTERVAL = 0.01  # s between attempts to have a descriptor watched
+# s of sleep per turn of the loop while sends or reads are refused: small beside the time an event may take.
+REFUSED_CALL_PAUSE = 0.005
+LOOP_ATTEMPTS = 25  # to create an event loop
+LOOP_RETRY_INTERVAL = 0.02  # s
 
 
 class RetryingSocket(socket.socket):
-    """A connected, non-blocking socket; want of memory counts as want of room, which the loop waits out.
+    """A connected, non-blocking socket that reports a lack of memory as EAGAIN, so that the loop retries.
 
-    Guards against answers and attempts that are lost with their connection. Costs REST a turn of the loop for
-    as long as the system has no memory.
+    Otherwise answers and attempts would be lost with their connection. While the system has no memory, each
+    turn of the loop sleeps for REFUSED_CALL_PAUSE.
 
-    refused: how many calls were, of all sockets.
+    refused_calls: number of refused calls on all sockets.
     """
 
-    refused = 0
+    refused_calls = 0
 
     @classmethod
-    def taking(cls, connected: socket.socket) -> "RetryingSocket":
-        """Take a socket's descriptor over."""
+    def take_over(cls, connected: socket.socket) -> "RetryingSocket":
+        """Wrap a connected socket's descriptor; the socket given is detached."""
         family, kind, protocol = connected.family, connected.type, connected.proto
-        taken = cls(family, kind, protocol, fileno=connected.detach())
-        taken.setblocking(False)
-        return taken
+        retrying = cls(family, kind, protocol, fileno=connected.detach())
+        retrying.setblocking(False)
+        return retrying
 
     def send(self, data: Any, flags: int = 0, /) -> int:
         try:
             return super().send(data, flags)
-        except OSError as problem:
-            raise as_want_of_room(problem) from None
+        except OSError as exc:
+            raise as_would_block(exc) from None
 
     def recv(self, size: int, flags: int = 0, /) -> bytes:
         try:
             return super().recv(size, flags)
-        except OSError as problem:
-            raise as_want_of_room(problem) from None
+        except OSError as exc:
+            raise as_would_block(exc) from None
 
     def close(self) -> None:
-        """An error of close(2) tells nothing that could be acted on: the descriptor is free."""
+        """Close the socket, ignoring errors: the descriptor is released in any case."""
         with suppress(OSError):
             super().close()
 
 
-def as_want_of_room(problem: OSError) -> OSError:
-    if problem.errno in NO_MEMORY:
-        RetryingSocket.refused += 1
-        return BlockingIOError(errno.EAGAIN, problem.strerror)
-    return problem
+def as_would_block(exc: OSError) -> OSError:
+    """Count a lack of memory and return it as BlockingIOError; return other errors unchanged."""
+    if exc.errno in MEMORY_ERRORS:
+        RetryingSocket.refused_calls += 1
+        return BlockingIOError(errno.EAGAIN, exc.strerror)
+    return exc
 
 
 class RetryingEpoll:
-    """epoll(7) for selectors.EpollSelector; what the system refuses is asked for again at each poll.
+    """epoll(7) for selectors.EpollSelector that retries refused changes at each poll.
 
-    known: descriptors that the system watches. refused: the events that are wanted of a descriptor, and not
-    had yet; none of one that is to be watched no more.
+    watched: descriptors registered with the system. pending_changes: refused changes by descriptor, each
+    the events to watch for, or None to stop watching.
     """
 
     def __init__(self) -> None:
         self.epoll = select.epoll()
         self.fileno, self.close = self.epoll.fileno, self.epoll.close
-        self.known: dict[int, None] = {}
-        self.refused: dict[int, int | None] = {}
-        self.refusals_seen = 0  # of calls on sockets
+        self.watched: dict[int, None] = {}
+        self.pending_changes: dict[int, int | None] = {}
+        self.refusals_seen = 0  # RetryingSocket.refused_calls at the last poll
 
     def register(self, descriptor: int, events: int) -> None:
-        self.ask(descriptor, events)
+        self.request_change(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        self.ask(descriptor, events)
+        self.request_change(descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
-        self.ask(descriptor, None)
+        self.request_change(descriptor, None)
 
-    def ask(self, descriptor: int, events: int | None) -> None:
-        """Now, or as soon as the system lets it. Raises OSError for what it will never let."""
-        self.refused.pop(descriptor, None)
+    def request_change(self, descriptor: int, events: int | None) -> None:
+        """Apply a change now, or retry it at each poll. Raises OSError if a retry can't help."""
+        self.pending_changes.pop(descriptor, None)
         try:
-            self.change(descriptor, events)
-        except OSError as problem:
-            if problem.errno not in NOT_WATCHED:
+            self.apply_change(descriptor, events)
+        except OSError as exc:
+            if exc.errno not in WATCH_ERRORS:
                 raise
-            self.refused[descriptor] = events
+            self.pending_changes[descriptor] = events
 
-    def change(self, descriptor: int, events: int | None) -> None:
+    def apply_change(self, descriptor: int, events: int | None) -> None:
+        """Register, modify or unregister a descriptor. Raises OSError."""
         if events is None:
-            if descriptor in self.known:
-                with suppress(FileNotFoundError):  # it went as the descriptor was closed
+            if descriptor in self.watched:
+                with suppress(FileNotFoundError):  # unregistered as the descriptor was closed
                     self.epoll.unregister(descriptor)
-                del self.known[descriptor]
-        elif descriptor in self.known:
+                del self.watched[descriptor]
+        elif descriptor in self.watched:
             try:
                 self.epoll.modify(descriptor, events)
-            except FileNotFoundError:  # another file has the descriptor since
+            except FileNotFoundError:  # closed meanwhile, and the number reused for another file
                 self.epoll.register(descriptor, events)
         else:
             self.epoll.register(descriptor, events)
-            self.known[descriptor] = None
+            self.watched[descriptor] = None
 
-    def poll(self, timeout: float = -1, most: int = -1) -> list[tuple[int, int]]:
-        """As select.epoll.poll; returns earlier while something is refused. timeout: s, none if negative.
+    def poll(self, timeout: float = -1, max_events: int = -1) -> list[tuple[int, int]]:
+        """Poll as select.epoll does, but return earlier while changes are pending.
 
-        Guards against a loop that turns without rest, as a socket whose sends are refused polls as writable.
+        timeout: s, no limit if negative. Sleeps first if calls on sockets were refused since the last poll:
+        such a socket polls as writable, and the loop would spin.
         """
-        if RetryingSocket.refused != self.refusals_seen:
-            self.refusals_seen = RetryingSocket.refused
-            time.sleep(REST)
-        for descriptor, events in list(self.refused.items()):
-            with suppress(OSError):  # closed since
-                self.ask(descriptor, events)
-        if self.refused:
-            timeout = AGAIN if timeout < 0 else min(timeout, AGAIN)
-        return self.epoll.poll(timeout, most)
+        if RetryingSocket.refused_calls != self.refusals_seen:
+            self.refusals_seen = RetryingSocket.refused_calls
+            time.sleep(REFUSED_CALL_PAUSE)
+        for descriptor, events in list(self.pending_changes.items()):
+            with suppress(OSError):  # closed meanwhile
+                self.request_change(descriptor, events)
+        if self.pending_changes:
+            timeout = WATCH_RETRY_INTERVAL if timeout < 0 else min(timeout, WATCH_RETRY_INTERVAL)
+        return self.epoll.poll(timeout, max_events)
 
 
 class RetryingSelector(selectors.EpollSelector):
-    """What asyncio's event loop waits with."""
+    """A selector for asyncio's event loop that uses RetryingEpoll."""
 
     _selector_cls = RetryingEpoll
 
 
 class FrontEventLoop(asyncio.SelectorEventLoop):
-    """asyncio's own, with the above in its connections."""
+    """asyncio's selector event loop with retrying sockets."""
 
-    def _make_socket_transport(self, sock: socket.socket, *given: Any, **named: Any) -> Any:
+    def _make_socket_transport(self, sock: socket.socket, *args: Any, **kwargs: Any) -> Any:
         return super()._make_socket_transport(  # type: ignore[misc]
-            RetryingSocket.taking(sock), *given, **named
+            RetryingSocket.take_over(sock), *args, **kwargs
         )
 
     async def sock_connect(self, sock: socket.socket, address: Any) -> None:
-        """Raises OSError, with EAGAIN where the system has put the connection off."""
+        """Connect. Raises OSError, with EAGAIN if the system has not started to connect."""
         await super().sock_connect(sock, address)
         try:
             sock.getpeername()
@@ -154,10 +158,13 @@
 
 
 def new_event_loop() -> FrontEventLoop:
-    """Blocks for up to LOOP_TRIES * LOOP_AGAIN s where the system has no descriptor. Raises OSError."""
-    for _ in range(LOOP_TRIES - 1):
+    """Create an event loop, retrying while the system has no free descriptor.
+
+    Blocks for up to LOOP_ATTEMPTS * LOOP_RETRY_INTERVAL. Raises OSError.
+    """
+    for _ in range(LOOP_ATTEMPTS - 1):
         try:
             return FrontEventLoop(RetryingSelector())
         except OSError:
-            time.sleep(LOOP_AGAIN)
+            time.sleep(LOOP_RETRY_INTERVAL)
     return FrontEventLoop(RetryingSelector())
--- a/heathford/log_stream.py
+++ b/heathford/log_stream.py
@@ -1,18 +1,17 @@
-"""Standard error for logs, written so that nobody who does not read it can stop the process."""
+"""Write logs to standard error without ever blocking on its reader."""
 
 import os
 import select
 
-LONGEST_LINE = 4_096  # bytes: a pipe that polls as writable takes as many at once, unblocked (PIPE_BUF)
+LONGEST_LINE = 4_096  # bytes (PIPE_BUF): a pipe that polls as writable takes as many without blocking
 STANDARD_ERROR = 2
 
 
 class LossyStream:
-    """A text stream that never blocks. What can't be written at once is dropped, and counted.
+    """A text stream that never blocks: lines that can't be written at once are dropped and counted.
 
-    Guards against a reader of the logs that stops reading: once its pipe is full a write would block the
-    event loop, and with it every client, until it reads again. Could harm by a gap in the logs, or a line cut
-    short.
+    If the reader of the logs stops reading and its pipe is full, a blocking write would stall the event
+    loop, and with it every client. The price is gaps in the logs and truncated long lines.
     """
 
     def __init__(self, descriptor: int) -> None:
@@ -22,7 +21,7 @@
         self.poll.register(descriptor, select.POLLOUT)
 
     def write(self, text: str) -> int:
-        """Write a line, or drop it."""
+        """Write a line, truncated to LONGEST_LINE, or drop it; return the length of the text."""
         data = text.encode(errors="backslashreplace")
         if len(data) > LONGEST_LINE:
             data = data[: LONGEST_LINE - 1] + b"\n"
@@ -31,12 +30,12 @@
                 os.write(self.descriptor, data)
                 return len(text)
         except OSError:
-            pass  # the reader has gone
+            pass  # the reader has closed the pipe
         self.dropped += 1
         return len(text)
 
     def flush(self) -> None:
-        """Nothing is buffered."""
+        """Do nothing: no text is buffered."""
 
 
 LOG_STREAM = LossyStream(STANDARD_ERROR)
--- a/heathford/platform/__init__.py
+++ b/heathford/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The platform's front node: its protocol as one more way in and out of the same core."""
+"""The front node on the platform: its HTTP protocol for clients and engines, and its process."""
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -1,6 +1,7 @@
-"""What an engine's answer means in the platform's protocol; no I/O.
+"""Parse an engine's answers in the platform's protocol; no I/O.
 
-One Verdict for each row of its table of outcomes, and an answer's events as the bytes they came in.
+Each row of the protocol's table of outcomes becomes one Outcome. The events of a stream are passed on as the
+bytes they came in.
 """
 
 from typing import Any
@@ -9,98 +10,114 @@
 from heathford.interface import Outcome
 from heathford.wire.http1 import MalformedMessageError, Response, json_object
 
-LONGEST_LINE = 16_384  # bytes of a head, a size line or one event: engines send a few hundred
-LONGEST_BODY = 262_144  # bytes of a body or a chunk: what the protocol allows
-REJECTED = "x-rejected"  # the header by which an engine says that it has begun nothing
-TURNED_AWAY = {503: 0, 504: 0, 410: 1}  # statuses that may carry it, and the detail; 1: no state to fetch
-DONE = b"data: [DONE]"
-ENDS = (b"\n\n", b"\r\n\r\n")  # of an event
+LONGEST_LINE = 16_384  # bytes of a head, a chunk-size line or one event: engines send a few hundred
+LONGEST_BODY = 262_144  # bytes of a body or a chunk: the protocol's limit
+REJECTED_HEADER = "x-rejected"  # set by an engine that has not started the request
+REJECTION_DETAILS = {
+    503: 0,
+    504: 0,
+    410: 1,
+}  # status with that header -> detail; 1: no prefill state to fetch
+DONE_EVENT = b"data: [DONE]"
+EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
 
-class Events:
-    """Whole events out of parts of a stream. The first is checked before anything is passed on: until then
-    a stream that is spoilt is a dispatch that failed, and another may be sent."""
+class EventStream:
+    """Splits a stream into complete server-sent events.
+
+    The first event is validated before anything is passed on: until then a malformed stream is a failed
+    attempt, which may be retried.
+    """
 
     def __init__(self) -> None:
-        self.rest = b""
-        self.begun = self.finished = False
-        self.found = 0  # prompt tokens found kept
+        self.buffer = b""
+        self.started = self.finished = False
+        self.cached_tokens = 0  # prompt tokens that the engine found in its cache
 
     def feed(self, part: bytes) -> bytes:
-        """The bytes of all events that are whole by now. Raises MalformedMessageError."""
-        self.rest += part
-        at = max(self.rest.rfind(end) + len(end) if end in self.rest else 0 for end in ENDS)
-        if len(self.rest) - at > LONGEST_LINE:
-            raise MalformedMessageError("an event too long")
-        if not at:
+        """Return the bytes of all events that are now complete. Raises MalformedMessageError."""
+        self.buffer += part
+        end_of_events = max(
+            self.buffer.rfind(end) + len(end) if end in self.buffer else 0 for end in EVENT_ENDS
+        )
+        if len(self.buffer) - end_of_events > LONGEST_LINE:
+            raise MalformedMessageError("an event is too long")
+        if not end_of_events:
             return b""
-        whole, self.rest = self.rest[:at], self.rest[at:]
+        complete, self.buffer = self.buffer[:end_of_events], self.buffer[end_of_events:]
         if self.finished:
-            raise MalformedMessageError("an event after the last")
-        if not self.begun:
-            self.check(whole)
-            self.begun = True
-        if b'"usage"' in whole:
-            self.found = found_in(whole)
-        self.finished = whole.rstrip().endswith(DONE)
-        return whole
-
-    def check(self, whole: bytes) -> None:
-        first = whole.lstrip(b"\r\n").split(b"\n", 1)[0]
+            raise MalformedMessageError("an event follows the last one")
+        if not self.started:
+            self.check_first_event(complete)
+            self.started = True
+        if b'"usage"' in complete:
+            self.cached_tokens = cached_tokens_in(complete)
+        self.finished = complete.rstrip().endswith(DONE_EVENT)
+        return complete
+
+    def check_first_event(self, complete: bytes) -> None:
+        """Raise MalformedMessageError unless the first event is a completion chunk."""
+        first = complete.lstrip(b"\r\n").split(b"\n", 1)[0]
         if not first.startswith(b"data:"):
-            raise MalformedMessageError("a stream that begins with no event")
+            raise MalformedMessageError("the stream does not begin with an event")
         if not isinstance(json_object(first[5:]).get("choices"), list):
-            raise MalformedMessageError("an event without choices")
+            raise MalformedMessageError("an event has no choices")
 
 
-def found_in(events: bytes) -> int:
+def cached_tokens_in(events: bytes) -> int:
+    """Return the cached tokens that the events' usage reports, 0 if there is none or it is malformed."""
     for line in events.split(b"\n"):
         if line.startswith(b"data: {") and b'"usage"' in line:
             try:
                 return cached_tokens(json_object(line[5:]).get("usage"))
             except MalformedMessageError:
-                return 0  # figures only: the events are passed on as they are
+                return 0  # statistics only: the events are passed on unchanged
     return 0
 
 
 class Answer:
-    """One answer of an engine, from its first byte. Raises MalformedMessageError from `feed`."""
+    """One answer of an engine, fed as its bytes arrive. is_prefill: it answers a prefill attempt."""
 
-    def __init__(self, reading: bool) -> None:
-        self.reading = reading
+    def __init__(self, is_prefill: bool) -> None:
+        self.is_prefill = is_prefill
         self.response = Response(LONGEST_LINE, LONGEST_BODY, strict=False)
-        self.events = Events()
+        self.events = EventStream()
         self.body = bytearray()
 
     def feed(self, data: bytes) -> bytes:
-        """What there is to pass on."""
-        response, out = self.response, b""
+        """Return the bytes to pass on to the client. Raises MalformedMessageError."""
+        response, passed_on = self.response, b""
         for part in response.feed(data):
-            if not self.reading and response.status == 200:
-                out += self.events.feed(part)
+            if not self.is_prefill and response.status == 200:
+                passed_on += self.events.feed(part)
             else:
                 self.body += part
                 if len(self.body) > LONGEST_BODY:
-                    raise MalformedMessageError("an answer too long")
-        return out
+                    raise MalformedMessageError("the body is too long")
+        return passed_on
 
     @property
     def keep(self) -> bool:
+        """Whether the connection may carry further requests."""
         return self.response.keep_alive
 
     def outcome(self) -> tuple[Outcome, int]:
-        """Once it is whole: the verdict and its detail. Raises MalformedMessageError."""
+        """Return the outcome and its detail; call it once the answer is complete.
+
+        Raises MalformedMessageError.
+        """
         status = self.response.status
-        if status == 200 and not self.reading:
-            if not self.events.finished or self.events.rest.strip():
-                raise MalformedMessageError("a stream that ends without saying so")
-            return Outcome.FINISHED, self.events.found
-        if status == 202 and self.reading:
-            return Outcome.PREFILLED, tokens_found(json_object(bytes(self.body)).get("cached_tokens"))
-        if status in TURNED_AWAY and self.response.headers.get(REJECTED) == "1":
-            return Outcome.FULL, TURNED_AWAY[status]
+        if status == 200 and not self.is_prefill:
+            if not self.events.finished or self.events.buffer.strip():
+                raise MalformedMessageError("the stream ends without its last event")
+            return Outcome.FINISHED, self.events.cached_tokens
+        if status == 202 and self.is_prefill:
+            return Outcome.PREFILLED, positive_count(json_object(bytes(self.body)).get("cached_tokens"))
+        if status in REJECTION_DETAILS and self.response.headers.get(REJECTED_HEADER) == "1":
+            return Outcome.FULL, REJECTION_DETAILS[status]
         return Outcome.ERROR, 0
 
 
-def tokens_found(count: Any) -> int:
+def positive_count(count: Any) -> int:
+    """Return the count, or 0 for anything but a positive integer."""
     return count if isinstance(count, int) and count > 0 else 0
--- a/heathford/platform/client_connection.py
+++ b/heathford/platform/client_connection.py
@@ -1,6 +1,7 @@
-"""One client's connection: what it asks in turn, and the answers that stream back to it.
+"""One client's connection: its requests in turn and the answers streamed back to it.
 
-On asyncio's transports, as the link is. Bounds here guard the process; what is answered comes from the core.
+Built on asyncio transports, like the link to engines. The limits here protect the process; what a request is
+answered with is decided by the core.
 """
 
 import asyncio
@@ -10,293 +11,323 @@
 
 import structlog
 
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.core.core import Core
 from heathford.core.gate import Reason
-from heathford.core.accepted_request import AcceptedRequest
-from heathford.platform.request_acceptance import accept_request
 from heathford.platform.eviction import Idleness
-from heathford.platform.responses import CLOSING, STREAM, whole
-from heathford.wire.request_reader import ReadAheadBudget, ReceivedRequest, RequestReader, ReadFailure
-from heathford.wire.requests import RequestError, Request
+from heathford.platform.request_acceptance import accept_request
+from heathford.platform.responses import CLOSE_HEADER, STREAM_HEAD, full_response
+from heathford.wire.request_reader import ReadAheadBudget, ReadFailure, ReceivedRequest, RequestReader
+from heathford.wire.requests import Request, RequestError
 from heathford.wire.socket_state import read_socket_state
 
-LONGEST_HEAD = 16_384  # bytes: clients' heads have a few hundred
-LONGEST_BODY = 262_144  # bytes: what the protocol allows
-UNSENT = 1_048_576  # bytes not yet taken by a client that reads slowly, after which it has left
+MAX_HEAD_BYTES = 16_384  # clients' heads have a few hundred
+MAX_BODY_BYTES = 262_144  # the protocol's limit
+MAX_UNSENT_BYTES = 1_048_576  # in the write buffer; a client that reads so slowly is dropped
 
 log = structlog.get_logger()
 
 
-class Clients(Protocol):
-    """What one connection needs of the server that accepted it."""
+class ConnectionServer(Protocol):
+    """What a connection needs of the server that accepted it.
+
+    open_requests: unanswered requests by their X-Call-Id. refused: rejected requests by status.
+    refuse_from: when new requests start to be refused, in seconds on the event loop's clock.
+    """
 
     core: Core
     workloads: Mapping[str, int]
     loop: asyncio.AbstractEventLoop
     connections: "dict[ClientConnection, None]"
-    open: dict[str, AcceptedRequest]
+    open_requests: dict[str, AcceptedRequest]
     read_ahead: ReadAheadBudget
     refused: Counter[int]
     stopping: bool
-    refuses_from: float
+    refuse_from: float
 
-    def opened(self, connection: "ClientConnection") -> None:
-        """A connection has been accepted."""
+    def connection_opened(self, connection: "ClientConnection") -> None:
+        """Register a connection that was accepted."""
 
-    def changed(self, connection: "ClientConnection") -> None:
-        """What is open on a connection has changed."""
+    def connection_changed(self, connection: "ClientConnection") -> None:
+        """Note that a request on the connection was opened or ended."""
 
-    def closed(self, connection: "ClientConnection") -> None:
-        """A connection is gone."""
+    def connection_closed(self, connection: "ClientConnection") -> None:
+        """Unregister a connection."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """One client's connection and the sink of the completion that is open on it."""
+    """One client's connection, and the response writer of the request that is open on it."""
 
-    def __init__(self, clients: Clients) -> None:
-        self.clients = clients
+    def __init__(self, server: ConnectionServer) -> None:
+        self.server = server
         self.transport: asyncio.Transport | None = None
-        self.reader = RequestReader(LONGEST_HEAD, LONGEST_BODY, clients.read_ahead)
-        self.taken: AcceptedRequest | None = None
-        self.name = ""  # of the completion that is open
-        self.keep = True  # the client goes on after the request in hand
-        self.since = clients.loop.time()  # when it connected, was last answered, or began to ask
-        self.served = 0  # answers given
-        self.begun = False  # the head of the answer has gone out
+        self.reader = RequestReader(MAX_HEAD_BYTES, MAX_BODY_BYTES, server.read_ahead)
+        self.accepted_request: AcceptedRequest | None = None
+        self.request_name = ""  # X-Call-Id of the open request
+        self.keep_alive = True  # whether the client keeps the connection after the current request
+        self.idle_since = server.loop.time()  # when it connected, was last answered, or started a request
+        self.answered_count = 0
+        self.head_sent = False  # of the current answer
         self.closing = False
 
-    # What the transport says.
+    # Calls of the transport.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        self.clients.opened(self)
+        self.server.connection_opened(self)
 
     def data_received(self, data: bytes) -> None:
         if self.closing:
             return
-        if self.served and not self.reader.pending and self.taken is None:
-            self.since = self.clients.loop.time()
+        if self.answered_count and not self.reader.pending and self.accepted_request is None:
+            self.idle_since = self.server.loop.time()
         try:
-            self.reader.feed(data, self.clients.loop.time())
-        except Exception as problem:
-            log.error("request not read", exc_info=problem)
+            self.reader.feed(data, self.server.loop.time())
+        except Exception as exc:
+            log.error("client request could not be parsed", exc_info=exc)
             self.reader.fail(RequestError(500, "the request could not be read"))
-        self.advance()
-        self.clients.changed(self)
+        self.handle_next()
+        self.server.connection_changed(self)
 
     def eof_received(self) -> None:
-        """Guards against attempts that begin after the client has gone: a turn of the core that is due comes
-        before connection_lost. Could harm a client that shuts its sending side and still waits; what the
-        protocol says of clients that close leaves no way to tell them apart."""
-        self.leave()
+        """Treat the end of the client's data as its departure.
 
-    def connection_lost(self, problem: Exception | None) -> None:
-        self.clients.closed(self)
-        self.leave()
+        A turn of the core that is already due runs before connection_lost, and would start attempts for a
+        client that is gone. A client that only shut down its sending side loses its answer: the protocol
+        gives no way to tell the two apart.
+        """
+        self.on_client_left()
 
-    def leave(self) -> None:
-        """The client has gone."""
+    def connection_lost(self, exc: Exception | None) -> None:
+        self.server.connection_closed(self)
+        self.on_client_left()
+
+    def on_client_left(self) -> None:
+        """Stop reading, and tell the core that the client of the open request is gone."""
         self.closing = True
         self.reader.close()
-        taken = self.taken
-        if taken is not None:
-            self.forget()
-            taken.client_left()
-        self.clients.changed(self)
+        accepted_request = self.accepted_request
+        if accepted_request is not None:
+            self.clear_request()
+            accepted_request.client_left()
+        self.server.connection_changed(self)
 
     # Requests.
 
-    def advance(self) -> None:
-        """Handle the next request that is whole, unless one is in hand; its answer calls this again."""
-        if self.closing or self.taken is not None:
+    def handle_next(self) -> None:
+        """Handle the next complete request, unless one is open; its answer schedules this call again."""
+        if self.closing or self.accepted_request is not None:
             return
-        found = self.reader.next_request()
-        if isinstance(found, ReceivedRequest):
-            self.handle(found)
-        elif isinstance(found, ReadFailure):
-            self.refuse(found.error, False)
+        next_item = self.reader.next_request()
+        if isinstance(next_item, ReceivedRequest):
+            self.handle_request(next_item)
+        elif isinstance(next_item, ReadFailure):
+            self.refuse(next_item.error, False)
         elif self.reader.awaits_continue:
             self.reader.continue_sent()
             self.write(b"HTTP/1.1 100 Continue\r\n\r\n")
 
-    def handle(self, received: ReceivedRequest) -> None:
-        clients, request = self.clients, received.request
-        self.keep = request.keep_alive
+    def handle_request(self, received: ReceivedRequest) -> None:
+        """Answer a readiness check, or submit the request to the core; answer it at once if refused."""
+        server, request = self.server, received.request
+        self.keep_alive = request.keep_alive
         if request.target.partition("?")[0] == "/health/ready" and request.method == "GET":
-            status, text = (503, "not ready") if clients.stopping else (200, "ready")
-            self.answer(whole(status, text, clients.stopping), request.keep_alive)
+            status, text = (503, "not ready") if server.stopping else (200, "ready")
+            self.send_response(full_response(status, text, server.stopping), request.keep_alive)
             return
         try:
-            reason = clients.core.gate.may_start(received.has_body, received.ended_at, clients.refuses_from)
+            reason = server.core.gate.may_start(received.has_body, received.ended_at, server.refuse_from)
             if reason is not Reason.ALLOWED:
                 raise RequestError(503, f"not begun: {reason.value}")
-            self.take(request, received.started_at)
-        except RequestError as problem:
-            self.refuse(problem, request.keep_alive)
-        except Exception as problem:
-            log.error("request not taken", exc_info=problem)
+            self.submit(request, received.started_at)
+        except RequestError as exc:
+            self.refuse(exc, request.keep_alive)
+        except Exception as exc:
+            log.error("client request could not be submitted", exc_info=exc)
             self.refuse(RequestError(500, "the request could not be taken"), request.keep_alive)
 
-    def take(self, request: Request, began: float) -> None:
-        """Hand the request to the core. Raises RequestError: before the core has seen any of it. The client's
-        budget counts from the first byte that came: it may have waited since then, however slowly it wrote,
-        however long the request stood behind another, and an engine must not be told more."""
-        clients = self.clients
-        self.begun = False
-        self.taken = accept_request(clients.core, self, request, clients.workloads, clients.open, began)
-        self.name = request.headers["x-call-id"]
-        request.body = bytearray()  # the core has it
-        clients.open[self.name] = self.taken
-        clients.changed(self)
-
-    def refuse(self, problem: RequestError, keep: bool) -> None:
-        """keep: what was whole but made no sense leaves the connection in order; anything else does not."""
-        self.clients.refused[problem.status] += 1
-        self.record("refused", str(problem.status))
-        self.answer(whole(problem.status, str(problem), not keep), keep)
-
-    def forget(self) -> None:
-        self.clients.open.pop(self.name, None)
-        self.taken, self.name = None, ""
+    def submit(self, request: Request, started_at: float) -> None:
+        """Hand the request to the core. Raises RequestError before the core has seen any of it.
+
+        The client's budget counts from the request's first byte: the client may have waited since then, also
+        while the request arrived slowly or was queued behind another, and an engine must not be given a
+        later deadline.
+        """
+        server = self.server
+        self.head_sent = False
+        self.accepted_request = accept_request(
+            server.core, self, request, server.workloads, server.open_requests, started_at
+        )
+        self.request_name = request.headers["x-call-id"]
+        request.body = bytearray()  # the core has its own copy
+        server.open_requests[self.request_name] = self.accepted_request
+        server.connection_changed(self)
+
+    def refuse(self, exc: RequestError, keep_alive: bool) -> None:
+        """Answer with an error status. keep_alive: false if the rest of the connection can't be parsed."""
+        self.server.refused[exc.status] += 1
+        self.record("refused", str(exc.status))
+        self.send_response(full_response(exc.status, str(exc), not keep_alive), keep_alive)
+
+    def clear_request(self) -> None:
+        """Forget the open request, once its final answer is due or its client is gone."""
+        self.server.open_requests.pop(self.request_name, None)
+        self.accepted_request, self.request_name = None, ""
 
     # Answers.
 
     def write(self, data: bytes) -> None:
+        """Write unless the transport is closing; drop a client that reads too slowly."""
         transport = self.transport
         if transport is None or transport.is_closing():
             return
         transport.write(data)
-        if transport.get_write_buffer_size() > UNSENT:
-            # Guards against a client that asks and does not read. Could harm one on a line slower than its
-            # own answer for a thousand events.
+        if transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
+            # A client that sends requests and never reads would fill memory. This also drops one whose
+            # network has been slower than its own answer for about a thousand events.
             self.record("closed", "reads too slowly")
             self.drop()
-            self.leave()
+            self.on_client_left()
 
-    def answer(self, data: bytes, keep: bool) -> None:
-        """A whole answer; after it the connection waits for the next request, or closes."""
+    def send_response(self, data: bytes, keep_alive: bool) -> None:
+        """Write the end of an answer; then go on to the next request, or half-close the connection."""
         self.write(data)
-        self.served += 1
-        self.since = self.clients.loop.time()
-        if keep and not (self.clients.stopping and not self.asks_on):
-            self.clients.loop.call_soon(self.advance)
-            self.clients.changed(self)
+        self.answered_count += 1
+        self.idle_since = self.server.loop.time()
+        if keep_alive and not (self.server.stopping and not self.has_further_request):
+            self.server.loop.call_soon(self.handle_next)
+            self.server.connection_changed(self)
         else:
-            self.finish()
+            self.half_close()
 
     @property
     def busy(self) -> bool:
-        """A request that was read whole has not been answered yet."""
-        return self.taken is not None or self.reader.has_complete_request
+        """Whether a request that was read completely has not been answered yet."""
+        return self.accepted_request is not None or self.reader.has_complete_request
 
     @property
     def idleness(self) -> Idleness | None:
         if self.busy:
             return None
         if self.closing:
-            return Idleness.SHUT
+            return Idleness.HALF_CLOSED
         if self.reader.has_partial_request:
-            return Idleness.ASKING
-        return Idleness.ANSWERED if self.served else Idleness.SILENT
+            return Idleness.PARTIAL_REQUEST
+        return Idleness.ANSWERED if self.answered_count else Idleness.SILENT
 
     @property
-    def unread(self) -> bool:
-        """Bytes, or the client's end, have reached this machine and not this program."""
+    def has_unread(self) -> bool:
+        """Whether bytes or the end of the client's data wait in the kernel, not yet read."""
         return read_socket_state(self.transport).unread
 
-    def finish_if_idle(self) -> bool:
-        """Shut a connection that nothing is owed on. Guards against a shutdown behind a request that waits in
-        the kernel: it would be read, and never answered. It is looked at again once that has been read."""
+    def half_close_if_idle(self) -> bool:
+        """Half-close the connection if no answer is owed on it; return whether that was done.
+
+        A request that waits in the kernel keeps it open, as it would otherwise be read and never answered.
+        The connection is checked again once that has been read.
+        """
         if self.closing or self.may_close() is not Reason.ALLOWED:
             return False
         self.record("closed", "idle")
-        self.finish()
+        self.half_close()
         return True
 
     def may_close(self) -> Reason:
-        return self.clients.core.gate.may_close(self.busy, self.reader.has_partial_request, self.unread)
+        return self.server.core.gate.may_close(self.busy, self.reader.has_partial_request, self.has_unread)
 
     def record(self, event: str, reason: str) -> None:
-        self.clients.core.history.add(self.name, event, reason)
+        self.server.core.history.add(self.request_name, event, reason)
 
     def evict(self) -> bool:
-        """Make way for another connection; not where an answer is owed or on its way, or more has come. Half
-        a request is told why."""
-        if self.busy or not self.flushed or (self.unread and not self.closing):
+        """Drop the connection to free its descriptor; return whether that was done.
+
+        It stays if an answer is owed or not yet sent, or if unread data has arrived. A client that has sent
+        part of a request gets status 503.
+        """
+        if self.busy or not self.flushed or (self.has_unread and not self.closing):
             return False
         self.record("closed", "evicted")
         if self.reader.has_partial_request:
-            self.clients.refused[503] += 1
-            self.write(whole(503, "no room for a request so slow", True))
+            self.server.refused[503] += 1
+            self.write(full_response(503, "no room for a request so slow", True))
         self.drop()
         return True
 
-    def finish(self) -> None:
-        """Shuts our side once all is written, and reads on until the client closes too: closed over bytes
-        that nobody has read, the connection would be reset and the answer lost on its way. What is read after
-        this is dropped; its client sends it anew on another connection."""
+    def half_close(self) -> None:
+        """Shut down the sending side once all is written, and read on until the client closes too.
+
+        Closing a socket with unread bytes resets the connection, which may lose the answer on its way. What
+        is read after this is discarded; the client sends it again on another connection.
+        """
         self.closing = True
         self.reader.close()
-        self.since = self.clients.loop.time()
-        self.clients.changed(self)
+        self.idle_since = self.server.loop.time()
+        self.server.connection_changed(self)
         transport = self.transport
         if transport and not transport.is_closing():
             try:
                 transport.write_eof()
-            except OSError:  # its client has reset it since we looked
+            except OSError:  # the client has just reset the connection
                 self.drop()
 
     @property
     def flushed(self) -> bool:
-        """All that was written has left."""
+        """Whether all that was written has been handed to the kernel."""
         return self.transport is None or not self.transport.get_write_buffer_size()
 
     def drop(self) -> None:
+        """Close the connection at once, discarding what is not yet written."""
         self.closing = True
         self.reader.close()
-        self.clients.closed(self)
+        self.server.connection_closed(self)
         if self.transport:
             self.transport.abort()
 
-    # What the core says: heathford.core.protocols.ResponseWriter.
+    # Calls of the core: heathford.core.protocols.ResponseWriter.
 
     def client_connected(self) -> bool:
-        if self.taken is not None and read_socket_state(self.transport).ended:
-            self.leave()
-        return self.taken is not None
+        if self.accepted_request is not None and read_socket_state(self.transport).ended:
+            self.on_client_left()
+        return self.accepted_request is not None
 
     def tokens(self, part: Any) -> None:
         chunk = b"%x\r\n%b\r\n" % (len(part), part)
-        if not self.begun:
-            self.begun = True
-            chunk = STREAM % (CLOSING if self.ends_after else b"") + chunk
+        if not self.head_sent:
+            self.head_sent = True
+            chunk = STREAM_HEAD % (CLOSE_HEADER if self.closes_after_answer else b"") + chunk
         self.write(chunk)
 
     @property
-    def asks_on(self) -> bool:
-        """More has come behind the request in hand. It was taken by this machine and is owed an answer."""
-        return self.reader.pending or self.unread
+    def has_further_request(self) -> bool:
+        """Whether more has arrived behind the open request, which this machine owes an answer."""
+        return self.reader.pending or self.has_unread
 
     @property
-    def ends_after(self) -> bool:
-        return (self.clients.stopping and not self.asks_on) or not self.keep
+    def closes_after_answer(self) -> bool:
+        """Whether the connection closes after the current answer: at shutdown, or as the client asked."""
+        return (self.server.stopping and not self.has_further_request) or not self.keep_alive
 
     def finished(self, reason: str, usage: Mapping[str, Any]) -> None:
-        keep = not self.ends_after
-        self.forget()
-        self.answer(b"0\r\n\r\n", keep)
+        keep_alive = not self.closes_after_answer
+        self.clear_request()
+        self.send_response(b"0\r\n\r\n", keep_alive)
 
     def rate_limited(self, retry_after: float) -> None:
-        keep, why = not self.ends_after, self.taken.give_up_reason if self.taken else ""
-        self.forget()
-        more = f"Retry-After: {retry_after:.3f}\r\n" if retry_after > 0.0 else ""
-        self.answer(whole(503, f"busy, nothing was done: {why}", not keep, more), keep)
+        keep_alive, why = (
+            not self.closes_after_answer,
+            self.accepted_request.give_up_reason if self.accepted_request else "",
+        )
+        self.clear_request()
+        extra_headers = f"Retry-After: {retry_after:.3f}\r\n" if retry_after > 0.0 else ""
+        self.send_response(
+            full_response(503, f"busy, nothing was done: {why}", not keep_alive, extra_headers), keep_alive
+        )
 
     def aborted(self, why: str) -> None:
-        keep = not self.ends_after
-        self.forget()
-        if self.begun:
-            self.drop()  # without the last chunk: what came is not whole
+        keep_alive = not self.closes_after_answer
+        self.clear_request()
+        if self.head_sent:
+            self.drop()  # no last chunk: the client sees that the stream is incomplete
         else:
-            self.answer(whole(502, why, not keep), keep)
+            self.send_response(full_response(502, why, not keep_alive), keep_alive)
--- a/heathford/platform/client_server.py
+++ b/heathford/platform/client_server.py
@@ -1,4 +1,4 @@
-"""All clients' connections of one front node: how many there may be, and which make way."""
+"""The client connections of one front node: their limit, time-outs and eviction."""
 
 import asyncio
 from collections import Counter
@@ -8,109 +8,121 @@
 
 import structlog
 
-from heathford.core.core import Core
 from heathford.core.accepted_request import AcceptedRequest
+from heathford.core.core import Core
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.eviction import EvictionQueues
-from heathford.platform.responses import whole
+from heathford.platform.responses import full_response
 from heathford.wire.request_reader import ReadAheadBudget
 
-FIRST = 2.0  # s for a connection's first byte: silent ones are owed a close within 3
-IDLE = 30.0  # s that a connection is kept between requests: clients come back within seconds or not at all
-WRITES = 2.45  # s from connecting for a first request that has begun; with a sweep and a hold-up under 3
-EVICTION_LOOKS = 16  # connections looked at to make room: one with something unread is not idle, and is read
-# in this turn of the loop
-SWEEP = 0.25  # s between two looks at what idles: small beside FIRST
-LINGER = 1.0  # s for which a connection that we have shut is still read: closed over unread bytes it would be
-# reset, and what the client has not read yet would be lost
-LINGER_AT_END = 0.3  # s of the same while the process ends: it may be killed 0.7 s after the longest deadline
-STILL_ASKED = 0.6  # s after SIGTERM for which clients may still come
+FIRST_BYTE_TIMEOUT = 2.0  # s from connecting: a silent connection has to be closed within 3 s
+IDLE_TIMEOUT = 30.0  # s of keep-alive between requests: clients come back within seconds or not at all
+# s for a whole request, from connecting or, on a kept connection, from its first byte. With a sweep interval
+# and a stall of the loop it stays under 3 s.
+REQUEST_READ_TIMEOUT = 2.45
+# Connections tried for each eviction. One with unread data is not idle; it is read in this turn of the loop.
+MAX_EVICTION_CHECKS = 16
+SWEEP_INTERVAL = 0.25  # s between checks for idle connections: small beside FIRST_BYTE_TIMEOUT
+# s for which a half-closed connection is still read: closed with unread bytes it would be reset, and the
+# client would lose what it has not read yet.
+LINGER = 1.0
+LINGER_AT_SHUTDOWN = 0.3  # s, shorter: the process may be killed 0.7 s after the longest deadline
+SHUTDOWN_ACCEPT_PERIOD = 0.6  # s after SIGTERM for which new requests are still accepted
 
 log = structlog.get_logger()
 
 
 class ClientServer:
-    """All clients' connections of one front. max_connections: in all."""
+    """Accepts client connections and closes idle ones; at most max_connections are open."""
 
     def __init__(self, core: Core, workloads: Mapping[str, int], max_connections: int) -> None:
         self.core, self.workloads, self.max_connections = core, workloads, max_connections
         self.loop = asyncio.get_running_loop()
         self.connections: dict[ClientConnection, None] = {}
-        self.idle = EvictionQueues[ClientConnection]()
-        self.open: dict[str, AcceptedRequest] = {}  # completions that clients wait for, by the clients' names
+        self.eviction_queues = EvictionQueues[ClientConnection]()
+        self.open_requests: dict[str, AcceptedRequest] = {}  # by X-Call-Id
         self.stopping = False
-        self.refuses_from = inf  # s on the loop's clock from which new requests are refused
-        self.refused: Counter[int] = Counter()  # by status: what was never taken
-        self.evicted = 0  # connections closed to make room
+        self.refuse_from = inf  # on the event loop's clock: new requests are refused from then on
+        self.refused: Counter[int] = Counter()  # requests that the core never saw, by response status
+        self.evicted = 0  # connections closed to free descriptors
         self.read_ahead = ReadAheadBudget()
 
     def accept(self) -> ClientConnection:
+        """Create the protocol object of a new connection."""
         return ClientConnection(self)
 
-    def opened(self, connection: ClientConnection) -> None:
-        if len(self.connections) >= self.max_connections and not self.make_room():
+    def connection_opened(self, connection: ClientConnection) -> None:
+        """Register the connection; at the limit evict an idle one, or else drop the new one."""
+        if len(self.connections) >= self.max_connections and not self.evict_one():
             self.evicted += 1
-            connection.drop()  # unread: an answer would need the descriptor until its client has read it
+            connection.drop()  # without an answer, which would hold the descriptor until the client reads it
         else:
             self.connections[connection] = None
-            self.idle.place(connection)
+            self.eviction_queues.update(connection)
 
-    def changed(self, connection: ClientConnection) -> None:
-        """What is open on a connection has changed."""
+    def connection_changed(self, connection: ClientConnection) -> None:
+        """Note that a request on the connection was opened or ended."""
         if connection in self.connections:
-            self.idle.place(connection)
+            self.eviction_queues.update(connection)
 
-    def closed(self, connection: ClientConnection) -> None:
-        """A connection is gone."""
+    def connection_closed(self, connection: ClientConnection) -> None:
+        """Unregister the connection."""
         self.connections.pop(connection, None)
-        self.idle.remove(connection)
+        self.eviction_queues.remove(connection)
 
-    def make_room(self) -> bool:
-        """Evict one connection on which nothing is owed.
+    def evict_one(self) -> bool:
+        """Close one connection on which no answer is owed; return whether there was one.
 
-        Guards against clients that connect by the hundreds and say nothing. Could harm a client whose
-        connection is closed as it asks; it asks again on a new one.
+        Clients may open hundreds of connections and send nothing. A client whose connection is closed just
+        as it sends a request has to send it again on a new one.
         """
-        for connection in islice(self.idle.in_order(self.loop.time()), EVICTION_LOOKS):
+        for connection in islice(self.eviction_queues.eviction_order(self.loop.time()), MAX_EVICTION_CHECKS):
             if connection.evict():
                 self.evicted += 1
                 return True
         return False
 
     def stop(self) -> None:
-        """The process ends: connections close once they are answered, and what comes later than clients may
-        still ask is refused."""
+        """Begin to shut down: connections close once answered, and late requests are refused.
+
+        Requests are still accepted for SHUTDOWN_ACCEPT_PERIOD.
+        """
         self.stopping = True
-        self.refuses_from = self.loop.time() + STILL_ASKED
+        self.refuse_from = self.loop.time() + SHUTDOWN_ACCEPT_PERIOD
 
     def sweep(self, now: float) -> None:
-        """Close what idles."""
-        self.with_each(lambda connection: self.sweep_one(connection, now))
+        """Apply the time-outs to all connections. now: s on the event loop's clock."""
+        self.for_each_connection(lambda connection: self.sweep_connection(connection, now))
 
-    def with_each(self, call: Callable[[ClientConnection], object]) -> None:
-        """Guards against a fault at one connection that costs the others: it costs that one."""
+    def for_each_connection(self, call: Callable[[ClientConnection], object]) -> None:
+        """Call this for each connection; one for which it raises is dropped, the others are unaffected."""
         for connection in list(self.connections):
             try:
                 call(connection)
-            except Exception as problem:
-                log.error("connection not looked after", exc_info=problem)
+            except Exception as exc:
+                log.error("client connection check failed", exc_info=exc)
                 connection.drop()
 
-    def sweep_one(self, connection: ClientConnection, now: float) -> None:
-        idle = now - connection.since
+    def sweep_connection(self, connection: ClientConnection, now: float) -> None:
+        """Close the connection, or answer it with status 408, if its time-out has passed."""
+        idle_time = now - connection.idle_since
         if connection.closing:
-            linger = LINGER_AT_END if self.stopping else LINGER
-            if idle >= (linger if connection.flushed else IDLE):
+            linger = LINGER_AT_SHUTDOWN if self.stopping else LINGER
+            if idle_time >= (linger if connection.flushed else IDLE_TIMEOUT):
                 connection.drop()
         elif connection.busy:
             return
-        elif connection.reader.has_partial_request or not connection.served:
-            if idle >= (WRITES if connection.reader.has_partial_request else FIRST) and not connection.unread:
+        elif connection.reader.has_partial_request or not connection.answered_count:
+            if (
+                idle_time
+                >= (REQUEST_READ_TIMEOUT if connection.reader.has_partial_request else FIRST_BYTE_TIMEOUT)
+                and not connection.has_unread
+            ):
                 self.refused[408] += 1
-                connection.answer(whole(408, "no whole request in time", True), False)
-        elif idle >= IDLE:
-            connection.finish_if_idle()
+                connection.send_response(full_response(408, "no whole request in time", True), False)
+        elif idle_time >= IDLE_TIMEOUT:
+            connection.half_close_if_idle()
 
     def close_idle(self) -> None:
-        """Shut all on which nothing is owed."""
-        self.with_each(ClientConnection.finish_if_idle)
+        """Half-close all connections on which no answer is owed."""
+        self.for_each_connection(ClientConnection.half_close_if_idle)
--- a/heathford/platform/eviction.py
+++ b/heathford/platform/eviction.py
@@ -1,73 +1,82 @@
-"""Which client connections make way for new ones: those on which nothing is owed, in order; no I/O."""
+"""Choose idle client connections to close when descriptors run out; no I/O.
+
+Only connections on which no answer is owed are candidates.
+"""
 
 from collections.abc import Iterator
 from enum import Enum
 from typing import Generic, Protocol, TypeVar
 
-SPEAKS_WITHIN = 0.5  # s within which a client that connects begins to ask; one that does not goes early
+SILENT_GRACE = 0.5  # s in which a new client normally starts its request; slower ones are evicted early
 
 
 class Idleness(Enum):
-    """Why a connection has nothing open, in the order in which they make way."""
+    """Why a connection has no open request, in the order of eviction."""
 
-    SHUT = "our side is shut, the client has not closed yet"
+    HALF_CLOSED = "our side is shut, the client has not closed yet"
     SILENT = "connected, and has said nothing"
     ANSWERED = "answered, and kept for the next request"
-    ASKING = "part of a request has come"
+    PARTIAL_REQUEST = "part of a request has come"
+
 
+class Evictable(Protocol):
+    """A connection as the queues see it.
 
-class Placed(Protocol):
-    """A connection as the queues see it. since: s on the loop's clock at which it became as it is."""
+    idle_since: when it got its present idleness, in seconds on the event loop's clock.
+    """
 
-    since: float
+    idle_since: float
 
     @property
     def idleness(self) -> Idleness | None:
-        """None: a request is open on it."""
+        """None while a request is open on the connection."""
 
 
-C = TypeVar("C", bound=Placed)
+C = TypeVar("C", bound=Evictable)
 
 
 class EvictionQueues(Generic[C]):
-    """Connections by idleness, the one that has been so for longest first.
+    """Idle connections by idleness, each queue in order of idle time, longest first.
 
-    Guards against a look at every connection for each new one: with hundreds of idle clients and thousands of
-    new ones that took most of the processor, and the loop fell behind.
+    The queues avoid a scan of all connections for each new one: with hundreds of idle clients and thousands
+    of new ones the scans took most of the processor time, and the event loop fell behind.
     """
 
     def __init__(self) -> None:
         self.queues: dict[Idleness, dict[C, None]] = {idleness: {} for idleness in Idleness}
-        self.places: dict[C, tuple[Idleness, float]] = {}
+        self.entries: dict[C, tuple[Idleness, float]] = {}
 
     def __len__(self) -> int:
-        return len(self.places)
+        return len(self.entries)
 
-    def place(self, connection: C) -> None:
-        """Something has happened on the connection."""
-        idleness, before = connection.idleness, self.places.get(connection)
-        if before and before == (idleness, connection.since):
+    def update(self, connection: C) -> None:
+        """Move the connection to the queue that fits its state, or out of all queues if it is busy."""
+        idleness, previous = connection.idleness, self.entries.get(connection)
+        if previous and previous == (idleness, connection.idle_since):
             return
         self.remove(connection)
         if idleness:
-            self.places[connection] = idleness, connection.since
+            self.entries[connection] = idleness, connection.idle_since
             self.queues[idleness][connection] = None
 
     def remove(self, connection: C) -> None:
-        """The connection is closed, or no longer idle."""
-        before = self.places.pop(connection, None)
-        if before:
-            self.queues[before[0]].pop(connection, None)
-
-    def in_order(self, now: float) -> Iterator[C]:
-        """Who makes way first: whose connection we have shut; who has said nothing for longer than a client
-        that wants something does; who was answered and stays; who is slow to ask; who has just come."""
+        """Take out a connection that was closed or is no longer idle; unknown ones are ignored."""
+        previous = self.entries.pop(connection, None)
+        if previous:
+            self.queues[previous[0]].pop(connection, None)
+
+    def eviction_order(self, now: float) -> Iterator[C]:
+        """Yield connections in the order in which they are to be evicted.
+
+        First those that are half closed; then silent ones past SILENT_GRACE, kept-alive ones after an
+        answer, those with part of a request, and last the silent ones that have only just connected.
+        """
         queues = self.queues
-        yield from queues[Idleness.SHUT]
+        yield from queues[Idleness.HALF_CLOSED]
         for connection in queues[Idleness.SILENT]:
-            if now - connection.since < SPEAKS_WITHIN:
+            if now - connection.idle_since < SILENT_GRACE:
                 break
             yield connection
         yield from queues[Idleness.ANSWERED]
-        yield from queues[Idleness.ASKING]
-        yield from (c for c in queues[Idleness.SILENT] if now - c.since < SPEAKS_WITHIN)
+        yield from queues[Idleness.PARTIAL_REQUEST]
+        yield from (c for c in queues[Idleness.SILENT] if now - c.idle_since < SILENT_GRACE)
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -1,4 +1,4 @@
-"""One front node as a process: its core, link, door and watch; signals, limits, and an orderly end."""
+"""One front node as a process: its parts, signals, descriptor limits and graceful shutdown."""
 
 import asyncio
 import asyncio.constants
@@ -21,53 +21,70 @@
 from heathford.early_signals import EARLY_SIGNALS
 from heathford.fleet.endpoint_list import EndpointList
 from heathford.log_stream import LOG_STREAM
-from heathford.platform.client_server import STILL_ASKED, SWEEP, ClientServer
+from heathford.platform.client_server import SHUTDOWN_ACCEPT_PERIOD, SWEEP_INTERVAL, ClientServer
 from heathford.platform.link import PlatformLink
 from heathford.platform.reload import ConfigurationReload
 from heathford.platform.signals import handled_signals
-from heathford.platform.start import StartError, address_of, from_environment, seed_of, read_configuration
+from heathford.platform.start import (
+    StartError,
+    from_environment,
+    parse_address,
+    parse_seed,
+    read_configuration,
+)
 from heathford.wire.http1 import MalformedMessageError
 from heathford.wire.socket_state import poll_flags
 
-ANSWER_MARGIN = 0.02  # s before the client timeout by which it is answered: the way to it, and the loop's lag
-ACCEPTED = 8  # connections accepted in one turn of the loop: those to be closed go between two turns
-OWN_DESCRIPTORS = 17  # standard streams, the loop's own, the listening socket, the configuration's file, and
-# three calls to discovery: the one that is listened to for longer, one that is given up, and the next
-RESERVED = OWN_DESCRIPTORS + 3 * ACCEPTED  # accepted, but not counted or not closed yet for up to three turns
-CLIENT_PART = 0.55  # of the others: clients hold a third of all for requests, idle ones come beside them
-ACCEPT_AGAIN = 0.02  # s until connections are accepted again after the system had no room for one
-BACKLOG = 1024  # connections that wait in the socket
-LISTEN_PATIENCE = 3.0  # s for which an address may be taken, or a socket be refused: ready within 6 s counts
-LISTEN_AGAIN = 0.05  # s between two tries
-END_LOOK = 0.05  # s between two looks at whether all has ended: small beside the 0.7 s until a kill
-TIDY = 8  # sweeps between two full collections of garbage, 2 s: completions and their dispatches point to
-# each other, and left to its own pace the collector let ten times as many pile up; one takes about 3 ms
-FIRST_LIST = 0.5  # s that the agent may take for its first list: it answers at once, or is silent while
-# discovery is down. Two calls and more fit in; a start may take 10 s
-LIST_AGAIN = 0.5  # s after a change of the list that could not be taken until the whole list is asked for
-REASONS_TOLD = 40  # in a state line, the most frequent ones
-TELL = 5.0  # s between two lines on what this front believes
+# s before the client timeout by which the final answer is given: for its way to the client and loop lag.
+ANSWER_MARGIN = 0.02
+# Connections accepted in one turn of the event loop: those evicted for them are closed between two turns.
+ACCEPTS_PER_TURN = 8
+# Standard streams, the event loop's own, the listening socket, the configuration file, and three calls to
+# discovery: one that was given up and is still listened to, one being given up, and the next.
+OWN_DESCRIPTORS = 17
+# Accepted connections may be uncounted, or evicted ones not closed yet, for up to three turns.
+RESERVED_DESCRIPTORS = OWN_DESCRIPTORS + 3 * ACCEPTS_PER_TURN
+# Of the other descriptors: clients need a third of all for requests, and idle ones come on top.
+CLIENT_SHARE = 0.55
+ACCEPT_RETRY_INTERVAL = 0.02  # s, after accept(2) failed for want of descriptors or memory
+LISTEN_BACKLOG = 1024  # connections that wait in the kernel
+# s for which the address may be in use, or the system refuse a socket: a start has to be ready within 6 s.
+LISTEN_TIMEOUT = 3.0
+LISTEN_RETRY_INTERVAL = 0.05  # s
+SHUTDOWN_CHECK_INTERVAL = 0.05  # s: small beside the 0.7 s after which the process may be killed
+# Sweeps between two full garbage collections, 2 s in all. Requests and their attempts refer to each other;
+# at its default thresholds the collector let ten times as many pile up. A collection takes about 3 ms.
+SWEEPS_PER_COLLECTION = 8
+# s to wait for the agent's first list: it answers at once, or not at all while discovery is down. That is
+# time for more than two calls; a start may take 10 s.
+FIRST_LIST_TIMEOUT = 0.5
+LIST_RETRY_DELAY = 0.5  # s, after a list change failed to apply, until the whole list is requested
+MAX_LOGGED_REASONS = 40  # the most frequent ones, in a state line
+STATE_LOG_INTERVAL = 5.0  # s
 
 log = structlog.get_logger()
 
 
 @dataclass(frozen=True)
 class Descriptors:
-    """How many connections clients and engines may have, so that discovery can always be called."""
+    """How many connections clients and engines may have; the rest keeps discovery reachable."""
 
     clients: int
     engines: int
 
     @classmethod
-    def of(cls, limit: int) -> "Descriptors":
-        """Share out all descriptors that the process may have."""
-        free = limit - min(RESERVED, limit // 3)
-        clients = int(CLIENT_PART * free)
+    def share(cls, limit: int) -> "Descriptors":
+        """Divide the descriptors that the process may have."""
+        free = limit - min(RESERVED_DESCRIPTORS, limit // 3)
+        clients = int(CLIENT_SHARE * free)
         return cls(clients, free - clients)
 
 
 class Node:
-    """configuration: the configuration, checked."""
+    """One front node: its core, its link to engines, its client connections and its view of discovery.
+
+    configuration: as `read_configuration` returns it, from the file at `path`.
+    """
 
     def __init__(
         self,
@@ -80,116 +97,124 @@
         self.name, self.listen, self.path = name, listen, path
         self.loop = asyncio.get_running_loop()
         settings = configuration["settings"]
-        limits, figures = settings["policyLimits"], read_router_settings(settings)
-        descriptors = Descriptors.of(
+        limits, router_settings = settings["policyLimits"], read_router_settings(settings)
+        descriptors = Descriptors.share(
             int(configuration["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         )
         self.instances = EndpointList(
             {
-                kind: (place, known.role)
-                for place, (kind, known) in enumerate(zip(settings["kinds"], figures["kinds"], strict=True))
+                kind: (index, engine_kind.role)
+                for index, (kind, engine_kind) in enumerate(
+                    zip(settings["kinds"], router_settings["kinds"], strict=True)
+                )
             },
             settings["azs"],
-            figures["warm_after"],
+            router_settings["warm_after"],
         )
         self.link = PlatformLink(
             limits["connectTimeoutNs"] / NS_PER_SECOND,
-            figures["pin_limit"],
+            router_settings["pin_limit"],
             limits["connIdleNs"] / NS_PER_SECOND,
             descriptors.engines,
-            lambda: self.instances.serving_endpoints(figures["zone"]),
+            lambda: self.instances.serving_endpoints(router_settings["zone"]),
         )
         self.core = Core(
             self.loop,
             self.link,
             name,
-            seed_of(configuration),
+            parse_seed(configuration),
             answer_margin=ANSWER_MARGIN,
             subscribe=settings.get("registryMode") == "subscribe",
-            **figures,
+            **router_settings,
         )
         self.clients = ClientServer(
             self.core,
-            {c["name"]: place for place, c in enumerate(settings["categories"])},
+            {c["name"]: index for index, c in enumerate(settings["categories"])},
             descriptors.clients,
         )
-        self.core.on_endpoint_list_failure = self.ask_again
-        self.watch = DiscoveryClient(*discovery, self.instances, self.list_changed)
+        self.core.on_endpoint_list_failure = self.request_list_later
+        self.watch = DiscoveryClient(*discovery, self.instances, self.on_list_change)
         self.ending = asyncio.Event()
-        self.known = configuration.get("known")
+        self.known_list = configuration.get("known")
         self.server: asyncio.Server | None = None
-        self.reload = ConfigurationReload(self.loop, path, self.configuration_read).begin
+        self.reload = ConfigurationReload(self.loop, path, self.apply_configuration).start
         self.sweeps = 0
-        self.lag = 0.0  # the longest that the loop ran behind since it was last told
+        self.lag = 0.0  # s: the longest delay of the event loop since the last state line
 
     async def start(self) -> None:
-        if isinstance(self.known, dict):
+        """Load the endpoint list and open the listening socket, unless told to end. Raises StartError."""
+        if isinstance(self.known_list, dict):
             try:
-                found = self.instances.apply_object(self.known, self.loop.time(), time.time())
-                if found:
-                    self.core.apply_endpoint_list(*found)
-            except MalformedMessageError as problem:
-                log.error("the engines known from before can't be read", why=str(problem))
+                change = self.instances.apply_object(self.known_list, self.loop.time(), time.time())
+                if change:
+                    self.core.apply_endpoint_list(*change)
+            except MalformedMessageError as exc:
+                log.error("the endpoint list in the configuration is malformed", why=str(exc))
         self.watch.start()
-        # Guards against first dispatches to engines that drain, or are gone: what the agent has counts as
-        # told from a process's first moment, what is known from before may be old. Costs the wait where the
-        # agent is silent: then that list is all there is.
-        if not await self.watch.wait_for_first_list(FIRST_LIST):
-            log.warning("no list yet", known=len(self.instances.entries))
-        sock = await self.listening_socket()
+        # The configuration's list may be out of date, and this process is held to the agent's list from its
+        # first moment: without waiting, first attempts could go to engines that drain or are removed. While
+        # the agent is silent a start takes longer, and the configuration's list is all there is.
+        if not await self.watch.wait_for_first_list(FIRST_LIST_TIMEOUT):
+            log.warning("no endpoint list from discovery yet", known=len(self.instances.entries))
+        sock = await self.open_listening_socket()
         if sock is None:
             return
         sock.setblocking(False)
-        # Guards against a moment's ENFILE, ENOBUFS or ENOMEM, after which asyncio accepts nothing for a
-        # second. Costs fifty calls to the kernel a second while it lasts. There is no other way to say it.
-        asyncio.constants.ACCEPT_RETRY_DELAY = ACCEPT_AGAIN  # type: ignore[misc, assignment]
-        # Its backlog is also how many asyncio accepts at once, before any that makes way is really closed.
-        self.server = await self.loop.create_server(self.clients.accept, sock=sock, backlog=ACCEPTED)
-        sock.listen(BACKLOG)
+        # After ENFILE, ENOBUFS or ENOMEM asyncio would accept nothing for a second, and offers no other way
+        # to change that. Costs fifty system calls a second while the shortage lasts.
+        asyncio.constants.ACCEPT_RETRY_DELAY = ACCEPT_RETRY_INTERVAL  # type: ignore[misc, assignment]
+        # asyncio also accepts up to `backlog` connections at once, before any evicted one is closed.
+        self.server = await self.loop.create_server(self.clients.accept, sock=sock, backlog=ACCEPTS_PER_TURN)
+        sock.listen(LISTEN_BACKLOG)
         self.listen = sock.getsockname()[:2]
         self.sweep()
-        self.tell()
+        self.log_state()
 
-    async def listening_socket(self) -> socket.socket | None:
-        """None if the process is told to end first. Raises StartError once LISTEN_PATIENCE is over.
+    async def open_listening_socket(self) -> socket.socket | None:
+        """Return the listening socket, or None if the process is told to end first.
 
-        Guards against a refused start where another socket has the port, or the system has no room for one,
-        for a moment. Could harm by telling a wrong NODE_LISTEN later.
+        Retries, as another socket may hold the port or the system may be short of resources for a moment. A
+        wrong NODE_LISTEN is therefore reported only after LISTEN_TIMEOUT, with StartError.
         """
-        gives_up = self.loop.time() + LISTEN_PATIENCE
-        told_of = False
+        give_up_at = self.loop.time() + LISTEN_TIMEOUT
+        warned = False
         while not self.ending.is_set():
             try:
-                return socket.create_server(self.listen, backlog=BACKLOG)
-            except OSError as problem:
-                if self.loop.time() >= gives_up:
-                    raise StartError(f"NODE_LISTEN can't be listened on: {problem}") from None
-                if not told_of:
-                    log.warning("can't listen yet", why=str(problem))
-                told_of = True
-            await asyncio.sleep(LISTEN_AGAIN)
+                return socket.create_server(self.listen, backlog=LISTEN_BACKLOG)
+            except OSError as exc:
+                if self.loop.time() >= give_up_at:
+                    raise StartError(f"cannot listen on NODE_LISTEN: {exc}") from None
+                if not warned:
+                    log.warning("listening failed; retrying", why=str(exc))
+                warned = True
+            await asyncio.sleep(LISTEN_RETRY_INTERVAL)
         return None
 
-    def list_changed(self, change: ListChange) -> None:
+    def on_list_change(self, change: ListChange) -> None:
+        """Hand a change of the endpoint list to the core."""
         self.core.apply_endpoint_list(change.complete, change.entries)
 
-    def ask_again(self) -> None:
-        """Guards against a list of which half was taken and which counts as current."""
-        self.loop.call_later(LIST_AGAIN, self.watch.start)
+    def request_list_later(self) -> None:
+        """Schedule a request for the whole list: the last change was applied only in part."""
+        self.loop.call_later(LIST_RETRY_DELAY, self.watch.start)
 
     def sweep(self, due: float = 0.0) -> None:
+        """Close what is idle, collect garbage and measure the loop's lag; repeats itself.
+
+        due: when this sweep was to run, in seconds on the event loop's clock; 0.0 at the first.
+        """
         now = self.loop.time()
-        # First of all: a fault below must not be the end of all sweeps.
-        self.loop.call_at(now + SWEEP, self.sweep, now + SWEEP)
+        # Scheduled before anything else: an exception below must not end the sweeps.
+        self.loop.call_at(now + SWEEP_INTERVAL, self.sweep, now + SWEEP_INTERVAL)
         self.lag = max(self.lag, now - due if due else 0.0)
         self.clients.sweep(now)
         self.link.pools.close_expired(now)
         self.sweeps += 1
-        if self.sweeps % TIDY == 0:
+        if self.sweeps % SWEEPS_PER_COLLECTION == 0:
             gc.collect()
 
-    def tell(self) -> None:
-        """What this front believes, to be held against what crossed the sockets."""
+    def log_state(self) -> None:
+        """Log this front node's counters, to be compared with the traffic on its sockets; repeats itself."""
         tally, router = self.core.tally, self.core.router
         log.info(
             "state",
@@ -214,37 +239,43 @@
             held=self.core.held_state_summary(),
             violations={rule.name: n for rule, n in self.core.gate.violations.items()},
             gate={reason.name: n for reason, n in self.core.gate.refused.items()},
-            reasons={": ".join(key): n for key, n in self.core.history.reasons.most_common(REASONS_TOLD)},
+            reasons={
+                ": ".join(key): n for key, n in self.core.history.reasons.most_common(MAX_LOGGED_REASONS)
+            },
             logs_dropped=LOG_STREAM.dropped,
             mb=resource.getrusage(resource.RUSAGE_SELF).ru_maxrss // 1024,
             cpu=round(time.process_time(), 2),
         )
         self.lag = 0.0
-        self.loop.call_later(TELL, self.tell)
+        self.loop.call_later(STATE_LOG_INTERVAL, self.log_state)
 
-    def tell_history(self) -> None:
-        """SIGUSR1: what happened to the last requests, both clocks in each line."""
+    def log_history(self) -> None:
+        """Log the history of the last requests, with monotonic and wall-clock time; for SIGUSR1."""
         wall_ahead = time.time() - self.loop.time()
         for record in self.core.history.newest():
             fields = asdict(record)
-            fields["what"] = fields.pop("event")  # the log's own name for the kind of line
+            fields["what"] = fields.pop("event")  # `event` is structlog's key for the message
             log.info("history", wall=round(record.time + wall_ahead, 3), **fields)
 
-    def configuration_read(self, found: Mapping[str, Any]) -> None:
-        """SIGHUP: follows discovery where the configuration now says it is; whatever else that changes counts
-        from the next start."""
-        discovery = address_of(found["discovery"], "discovery")
+    def apply_configuration(self, configuration: Mapping[str, Any]) -> None:
+        """Follow discovery at the address in the configuration; for SIGHUP.
+
+        Other changes of the configuration take effect at the next start.
+        """
+        discovery = parse_address(configuration["discovery"], "discovery")
         log.info("configuration read", discovery=f"{discovery[0]}:{discovery[1]}")
         if discovery != (self.watch.address, self.watch.port):
             self.watch.change_address(*discovery)
 
     def terminate(self) -> None:
+        """Begin the graceful shutdown; further calls do nothing."""
         if not self.clients.stopping:
             self.clients.stop()
             log.info("ending", open=self.core.open_count, clients=len(self.clients.connections))
             self.ending.set()
 
     async def run(self) -> None:
+        """Start, and serve until the shutdown is complete. Raises StartError."""
         if self.ending.is_set():
             return
         await self.start()
@@ -255,29 +286,34 @@
         await self.end()
 
     def idle(self) -> bool:
-        """Nothing that was taken is open any more."""
+        """Whether no request, client connection or release is open any more."""
         return not (
             self.core.live or self.clients.connections or self.link.tasks.running or self.link.retry_timers
         )
 
-    def someone_waits(self) -> bool:
-        """A connection waits to be accepted. Guards against an end that resets it: what its client has sent
-        was taken by this machine. Costs a call to the kernel."""
+    def has_pending_connection(self) -> bool:
+        """Whether a connection waits to be accepted; also true while the kernel can't say.
+
+        Closing the listening socket would reset it, though its client's request has reached this machine.
+        """
         if not self.server:
             return False
-        looks = [poll_flags(sock.fileno()) for sock in self.server.sockets]
-        return any(flags is None or flags for flags in looks)
+        flags_by_socket = [poll_flags(sock.fileno()) for sock in self.server.sockets]
+        return any(flags is None or flags for flags in flags_by_socket)
 
     async def end(self) -> None:
-        """Serves on for as long as clients may come, then until all that was taken is answered, however long
-        an answer streams: who must have it sooner kills us."""
-        await asyncio.sleep(STILL_ASKED)
+        """Shut down gracefully.
+
+        Serves on for SHUTDOWN_ACCEPT_PERIOD, then until every accepted request is answered. There is no
+        limit to how long an answer may stream: an earlier end takes SIGKILL.
+        """
+        await asyncio.sleep(SHUTDOWN_ACCEPT_PERIOD)
         while True:
             self.clients.close_idle()
             self.clients.sweep(self.loop.time())
-            if self.idle() and not self.someone_waits():
+            if self.idle() and not self.has_pending_connection():
                 break
-            await asyncio.sleep(END_LOOK)
+            await asyncio.sleep(SHUTDOWN_CHECK_INTERVAL)
         if self.server:
             self.server.close()
         self.watch.stop()
@@ -294,26 +330,33 @@
 
 
 def log_unhandled(loop: asyncio.AbstractEventLoop, context: dict[str, Any]) -> None:
-    """An exception that a callback or a task let through. Guards against faults that nobody hears of: the
-    loop's own words go to a logger that is silent here. What the system refused is no fault of ours."""
-    problem = context.get("exception")
-    tell = log.warning if isinstance(problem, OSError) else log.error
-    tell("unhandled", message=context.get("message"), exc_info=problem)
+    """Log an exception that no callback or task handled; the event loop's exception handler.
+
+    asyncio's default handler uses a logger that is silent here. An OSError is no fault of this program, and
+    is logged as a warning.
+    """
+    exc = context.get("exception")
+    log_call = log.warning if isinstance(exc, OSError) else log.error
+    log_call("unhandled", message=context.get("message"), exc_info=exc)
 
 
 async def run_node(variables: Mapping[str, str]) -> None:
-    """Runs until SIGTERM or SIGINT; SIGHUP has the configuration read again. Raises StartError."""
+    """Run a front node until SIGTERM or SIGINT. Raises StartError.
+
+    SIGHUP reads the configuration again, SIGUSR1 logs the history of the last requests. Signals that came
+    while the program was loaded are handled first.
+    """
     loop = asyncio.get_running_loop()
     loop.set_exception_handler(log_unhandled)
     name, listen, discovery, path = from_environment(variables)
     node = Node(name, listen, discovery, read_configuration(path), path)
-    acts: dict[signal.Signals, Callable[[], None]] = {
+    handlers: dict[signal.Signals, Callable[[], None]] = {
         signal.SIGTERM: node.terminate,
         signal.SIGINT: node.terminate,
         signal.SIGHUP: node.reload,
-        signal.SIGUSR1: node.tell_history,
+        signal.SIGUSR1: node.log_history,
     }
-    with handled_signals(loop, acts):
-        for sign in EARLY_SIGNALS.received:
-            acts[sign]()
+    with handled_signals(loop, handlers):
+        for number in EARLY_SIGNALS.received:
+            handlers[number]()
         await node.run()
--- a/heathford/platform/reload.py
+++ b/heathford/platform/reload.py
@@ -1,4 +1,4 @@
-"""Reading the configuration again, as SIGHUP asks for, until it can be used."""
+"""Read the configuration again on SIGHUP, with retries until it is usable."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,44 +9,46 @@
 
 from heathford.platform.start import StartError, reread_configuration
 
-READS = 30  # for one SIGHUP, at most
-READ_AGAIN = 0.1  # s between two of them: 3 s in all, within the 4 s until a new discovery's list counts
+MAX_READS = 30  # attempts for one SIGHUP
+# s; with MAX_READS 3 s in all, within the 4 s after which a new discovery's list is binding.
+READ_RETRY_INTERVAL = 0.1
 
 log = structlog.get_logger()
 
 
 class ConfigurationReload:
-    """Reads a configuration at once, and again for READS * READ_AGAIN s while it can't be used.
+    """Reads a configuration, and retries for MAX_READS * READ_RETRY_INTERVAL while it can't be used.
 
-    Guards against a SIGHUP that is lost where a descriptor is missing for a moment or the file is half
-    written: the discovery that is followed may end 1.5 s later. Could harm by taking what a later writer has
-    left there.
+    Without retries a reload would be lost when descriptors are short for a moment or the file is half
+    written, and the discovery that is followed so far may end 1.5 s later. A retry may also read what a
+    later writer has left in the file.
     """
 
     def __init__(
-        self, loop: asyncio.AbstractEventLoop, path: Path, take: Callable[[dict[str, Any]], None]
+        self, loop: asyncio.AbstractEventLoop, path: Path, apply: Callable[[dict[str, Any]], None]
     ) -> None:
-        self.loop, self.path, self.take = loop, path, take
+        self.loop, self.path, self.apply = loop, path, apply
         self.next_read: asyncio.TimerHandle | None = None
 
-    def begin(self) -> None:
-        """A further SIGHUP begins anew."""
+    def start(self) -> None:
+        """Read now; a reload that is still being retried is given up."""
         if self.next_read:
             self.next_read.cancel()
-        self.read(READS)
+        self.read(MAX_READS)
 
     def read(self, reads_left: int) -> None:
+        """Apply the configuration, or schedule the next attempt."""
         self.next_read = None
         try:
-            found = reread_configuration(self.path)
-        except StartError as problem:
-            self.failed(problem, reads_left - 1)
+            configuration = reread_configuration(self.path)
+        except StartError as exc:
+            self.failed(exc, reads_left - 1)
         else:
-            self.take(found)
+            self.apply(configuration)
 
-    def failed(self, problem: StartError, reads_left: int) -> None:
-        """The first problem and the last are told."""
-        if reads_left in (READS - 1, 0):
-            log.error("configuration not taken", why=str(problem), reads_left=reads_left)
+    def failed(self, exc: StartError, reads_left: int) -> None:
+        """Log the first and the last error, and schedule the next attempt if one is left."""
+        if reads_left in (MAX_READS - 1, 0):
+            log.error("configuration not taken", why=str(exc), reads_left=reads_left)
         if reads_left:
-            self.next_read = self.loop.call_later(READ_AGAIN, self.read, reads_left)
+            self.next_read = self.loop.call_later(READ_RETRY_INTERVAL, self.read, reads_left)
--- a/heathford/platform/responses.py
+++ b/heathford/platform/responses.py
@@ -1,6 +1,6 @@
-"""Whole responses and the parts of a streamed one, as bytes; no I/O."""
+"""Encode responses to clients as HTTP/1.1 bytes; no I/O."""
 
-REASONS = {
+REASON_PHRASES = {
     200: "OK",
     400: "Bad Request",
     404: "Not Found",
@@ -16,14 +16,15 @@
     503: "Service Unavailable",
     505: "HTTP Version Not Supported",
 }
-STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n%b\r\n"
-CLOSING = b"Connection: close\r\n"
+STREAM_HEAD = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n%b\r\n"
+CLOSE_HEADER = b"Connection: close\r\n"
 
 
-def whole(status: int, text: str, close: bool, more: str = "") -> bytes:
+def full_response(status: int, text: str, close: bool, extra_headers: str = "") -> bytes:
+    """Encode a plain-text response with its length. extra_headers: lines that each end with CRLF."""
     body = text.encode() + b"\n"
-    closing = "Connection: close\r\n" if close else ""
+    close_header = "Connection: close\r\n" if close else ""
     return (
-        f"HTTP/1.1 {status} {REASONS[status]}\r\nContent-Type: text/plain\r\n"
-        f"Content-Length: {len(body)}\r\n{closing}{more}\r\n"
+        f"HTTP/1.1 {status} {REASON_PHRASES[status]}\r\nContent-Type: text/plain\r\n"
+        f"Content-Length: {len(body)}\r\n{close_header}{extra_headers}\r\n"
     ).encode() + body
--- a/heathford/platform/signals.py
+++ b/heathford/platform/signals.py
@@ -1,4 +1,4 @@
-"""Signals of a front node, acted on in its event loop while it runs."""
+"""Handle a front node's signals in its event loop."""
 
 import asyncio
 import signal
@@ -8,35 +8,39 @@
 
 @contextmanager
 def handled_signals(
-    loop: asyncio.AbstractEventLoop, acts: Mapping[signal.Signals, Callable[[], None]]
+    loop: asyncio.AbstractEventLoop, actions: Mapping[signal.Signals, Callable[[], None]]
 ) -> Iterator[None]:
-    """Have the loop make these calls, each in a turn of its own; afterwards the signals are ignored.
+    """Run each signal's action in a turn of the loop of its own; afterwards ignore the signals.
 
-    The loop learns of a signal by a byte that is written to a socket of its own. Here that byte only wakes
-    the loop, and Python's own handler, which runs without it, has the call made: where the byte is lost, in
-    the loop's next turn. Guards against a byte that the system refuses to write: a process that hears of no
-    SIGTERM is killed with all that it has taken. Costs nothing.
+    asyncio learns of a signal by a byte that is written to its wake-up socket, and the system may refuse
+    that write: a process that misses SIGTERM is later killed, with all requests that it has accepted. Here
+    the byte only wakes the loop. The action is scheduled by Python's own handler, which runs without the
+    byte; if the byte is lost, the action runs in the loop's next turn.
     """
-    for number, act in acts.items():
-        loop.add_signal_handler(number, woken)
-        signal.signal(number, calling(loop, act))
+    for number, action in actions.items():
+        loop.add_signal_handler(number, wake_loop)
+        signal.signal(number, handler_for(loop, action))
     try:
         yield
     finally:
-        ignore(loop, acts)
+        ignore_signals(loop, actions)
 
 
-def calling(loop: asyncio.AbstractEventLoop, act: Callable[[], None]) -> Callable[[int, object], None]:
+def handler_for(loop: asyncio.AbstractEventLoop, action: Callable[[], None]) -> Callable[[int, object], None]:
+    """Return a handler for signal.signal that schedules the action."""
+
     def received(_number: int, _frame: object) -> None:
-        loop.call_soon_threadsafe(act)
+        loop.call_soon_threadsafe(action)
 
     return received
 
 
-def ignore(loop: asyncio.AbstractEventLoop, numbers: Mapping[signal.Signals, object]) -> None:
-    """Guards against a SIGHUP or a second SIGTERM, once all is done, that ends the process with its status:
-    the loop gives signals their defaults back as it closes. One that comes in between waits until it is
-    ignored."""
+def ignore_signals(loop: asyncio.AbstractEventLoop, numbers: Mapping[signal.Signals, object]) -> None:
+    """Ignore the signals, without a moment in which their default actions apply.
+
+    The loop restores the defaults as it closes, and a late SIGHUP or second SIGTERM would then decide the
+    exit status. Signals are blocked in between.
+    """
     before = signal.pthread_sigmask(signal.SIG_BLOCK, numbers)
     for number in numbers:
         loop.remove_signal_handler(number)
@@ -44,5 +48,5 @@
     signal.pthread_sigmask(signal.SIG_SETMASK, before)
 
 
-def woken() -> None:
-    """Nothing more is to be done."""
+def wake_loop() -> None:
+    """Do nothing: the loop is awake by the time that it calls this."""
--- a/heathford/ports.py
+++ b/heathford/ports.py
@@ -1,14 +1,14 @@
-"""Ports that stay one's own while nobody listens on them."""
+"""Reserve TCP ports that stay reserved while nothing listens on them."""
 
 import socket
 
 
 def reserved_port() -> socket.socket:
-    """A socket bound to a port of its own, on which others may listen that set SO_REUSEADDR.
+    """Return a socket bound to a free port, on which sockets with SO_REUSEADDR may listen.
 
-    As long as it is open, the system gives the port to nobody else, neither to a connection nor to a
-    socket that asks for any port: a front node starts on it more than once. Two of these never share a
-    port, since each is bound before it sets the option.
+    While it is open, the system assigns the port to no connection and to no socket that asks for any port,
+    so that a front node can be started on it several times. Two reserved sockets never share a port, since
+    each is bound before it sets the option.
     """
     reserved = socket.socket()
     reserved.bind(("127.0.0.1", 0))
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -137,7 +137,7 @@
 
 
 @pytest.mark.parametrize(
-    "owner, name", [(RequestReader, "feed"), (ClientConnection, "take")], ids=["parser", "hand-over"]
+    "owner, name", [(RequestReader, "feed"), (ClientConnection, "submit")], ids=["parser", "hand-over"]
 )
 def test_a_fault_on_the_way_in_is_answered(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, owner: Any, name: str
@@ -158,7 +158,7 @@
 def test_a_fault_at_one_connection_does_not_end_the_sweeps(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    raised = raising(monkeypatch, ClientServer, "sweep_one")
+    raised = raising(monkeypatch, ClientServer, "sweep_connection")
 
     async def day() -> None:
         async with front_node(tmp_path, prefill(), decode()) as play:
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -499,7 +499,7 @@
 def test_with_a_silent_agent_a_process_starts_on_what_it_knew(tmp_path: Path) -> None:
     async def day(node: NodeProcess) -> None:
         assert node.said[-1]["event"] == "ready" and node.said[-2]["event"] == "state"
-        assert "no list yet" in {line["event"] for line in node.said}
+        assert "no endpoint list from discovery yet" in {line["event"] for line in node.said}
         assert await node.ask("c0") == (200, ALL, True)
 
     run_scenario(
@@ -575,15 +575,15 @@
 @pytest.mark.parametrize(
     "variables, why",
     [
-        ({}, "not told by the platform: NODE_NAME"),
-        ({"NODE_LISTEN": "here"}, "NODE_LISTEN is no HOST:PORT"),
+        ({}, "missing environment variables: NODE_NAME"),
+        ({"NODE_LISTEN": "here"}, "NODE_LISTEN is not HOST:PORT"),
         ({"NODE_CONFIG": "nowhere.json"}, "the configuration can't be read"),
-        ({"text": "[]"}, "no JSON object"),
+        ({"text": "[]"}, "not a JSON object"),
         (
             {"text": '{"limits":{},"settings":{},"discovery":"h:1"}'},
             "the settings can't be used: familyInfo is missing",
         ),
-        ({"text": "good", "NODE_LISTEN": "taken"}, "NODE_LISTEN can't be listened on"),
+        ({"text": "good", "NODE_LISTEN": "taken"}, "cannot listen on NODE_LISTEN"),
     ],
 )
 def test_a_start_that_can_not_be_is_told(tmp_path: Path, variables: dict[str, str], why: str) -> None:
@@ -602,7 +602,7 @@
             "NODE_CONFIG": str(path),
             **variables,
         }
-        if why.startswith("no JSON") or "settings" in why:
+        if why.startswith("not a JSON") or "settings" in why:
             given = {
                 "NODE_NAME": "n",
                 "NODE_LISTEN": "127.0.0.1:0",
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -10,9 +10,9 @@
 ALL = b"".join(EVENTS)
 
 
-def outcome(said: bytes, reading: bool, step: int) -> tuple[bytes, object]:
+def feed_in_steps(said: bytes, is_prefill: bool, step: int) -> tuple[bytes, object]:
     """What was passed on, and the verdict; None while it is not whole, "nonsense" once it is spoilt."""
-    answer, passed = Answer(reading), b""
+    answer, passed = Answer(is_prefill), b""
     for at in range(0, len(said), step):
         try:
             passed += answer.feed(said[at : at + step])
@@ -28,7 +28,7 @@
 
 
 @pytest.mark.parametrize(
-    "said, reading, passed, verdict",
+    "said, is_prefill, passed, verdict",
     [
         (UNTIL_CLOSE + ALL, False, ALL, (Outcome.FINISHED, 4)),
         (UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
@@ -38,10 +38,10 @@
     ],
 )
 def test_an_answer_without_a_length_ends_with_its_connection(
-    said: bytes, reading: bool, passed: bytes, verdict: object
+    said: bytes, is_prefill: bool, passed: bytes, verdict: object
 ) -> None:
     for step in (1, 7, len(said)):
-        answer, got = Answer(reading), b""
+        answer, got = Answer(is_prefill), b""
         try:
             for at in range(0, len(said), step):
                 got += answer.feed(said[at : at + step])
@@ -65,13 +65,13 @@
     ],
 )
 def test_which_answers_end_their_connection(field: str, keep: bool) -> None:
-    answer = Answer(reading=False)
+    answer = Answer(is_prefill=False)
     answer.feed(f"HTTP/1.1 500 X\r\nConnection: {field}\r\nContent-Length: 0\r\n\r\n".encode())
     assert answer.response.done and answer.keep == keep
 
 
 @pytest.mark.parametrize(
-    "said, reading, passed, verdict",
+    "said, is_prefill, passed, verdict",
     [
         (GOOD, False, ALL, (Outcome.FINISHED, 4)),
         (READ, True, b"", (Outcome.PREFILLED, 4)),
@@ -112,25 +112,25 @@
         (STREAM + chunk(ALL) + chunk(EVENTS[0]), False, ALL, "nonsense"),
     ],
 )
-def test_one_meaning_for_every_answer(said: bytes, reading: bool, passed: bytes, verdict: object) -> None:
-    assert outcome(said, reading, 1) == (passed, verdict)
-    at_once, same = outcome(said, reading, len(said))
+def test_one_meaning_for_every_answer(said: bytes, is_prefill: bool, passed: bytes, verdict: object) -> None:
+    assert feed_in_steps(said, is_prefill, 1) == (passed, verdict)
+    at_once, same = feed_in_steps(said, is_prefill, len(said))
     assert same == verdict and (at_once == passed or verdict == "nonsense")
 
 
 def test_a_second_answer_behind_the_first_ends_the_connections_use() -> None:
-    answer = Answer(reading=False)
+    answer = Answer(is_prefill=False)
     assert answer.feed(GOOD + GOOD) == ALL
     assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep
-    clean = Answer(reading=False)
+    clean = Answer(is_prefill=False)
     clean.feed(GOOD)
     assert clean.keep
 
 
 def test_no_chunk_makes_memory_grow() -> None:
-    answer = Answer(reading=False)
+    answer = Answer(is_prefill=False)
     answer.feed(STREAM + chunk(EVENTS[0]) + b"3FFFF\r\n")
     with pytest.raises(MalformedMessageError):
         for _ in range(100):
             answer.feed(b"a" * 1000)
-    assert len(answer.events.rest) < 40_000
+    assert len(answer.events.buffer) < 40_000
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -9,7 +9,7 @@
 
 from heathford.child_signals import send_signal
 from heathford.interface import STALL_ALLOWANCE
-from heathford.platform.client_server import FIRST, SWEEP, WRITES
+from heathford.platform.client_server import FIRST_BYTE_TIMEOUT, SWEEP_INTERVAL, REQUEST_READ_TIMEOUT
 
 GONE = 0.1  # s after a client has gone from which no attempt may begin
 
@@ -221,4 +221,4 @@
 
 
 def test_half_a_request_is_told_within_three_seconds_also_where_the_loop_is_held_up() -> None:
-    assert max(WRITES, FIRST) + SWEEP + STALL_ALLOWANCE < 3.0
+    assert max(REQUEST_READ_TIMEOUT, FIRST_BYTE_TIMEOUT) + SWEEP_INTERVAL + STALL_ALLOWANCE < 3.0
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -6,7 +6,7 @@
 import pytest
 from test_platform import ALL, NodeProcess, run_scenario, prefill_engine, decode_engine
 
-from heathford.platform.process import RESERVED, Descriptors
+from heathford.platform.process import RESERVED_DESCRIPTORS, Descriptors
 
 SOCKETS = 128
 IDLE_CLIENTS = 400  # far more than there are descriptors
@@ -26,9 +26,9 @@
 
 @pytest.mark.parametrize("limit", [64, 128, 256, 512, 1024, 65536])
 def test_clients_and_engines_leave_room_for_the_rest(limit: int) -> None:
-    shares = Descriptors.of(limit)
+    shares = Descriptors.share(limit)
     assert shares.clients > limit / 3 and shares.engines > limit / 4
-    assert limit - shares.clients - shares.engines >= min(RESERVED, limit // 3)
+    assert limit - shares.clients - shares.engines >= min(RESERVED_DESCRIPTORS, limit // 3)
 
 
 def test_discovery_is_followed_again_though_idle_clients_hold_all_they_can(tmp_path: Path) -> None:
--- a/tests/test_races_read_answered.py
+++ b/tests/test_races_read_answered.py
@@ -12,7 +12,12 @@
 from raw_peers import FrontSetup, RawClient, answer_releases, request, run_scenario, run_loop_turns, until
 
 from heathford.platform.client_connection import ClientConnection
-from heathford.platform.client_server import EVICTION_LOOKS, FIRST, IDLE, STILL_ASKED
+from heathford.platform.client_server import (
+    MAX_EVICTION_CHECKS,
+    FIRST_BYTE_TIMEOUT,
+    IDLE_TIMEOUT,
+    SHUTDOWN_ACCEPT_PERIOD,
+)
 from heathford.platform.process import Node
 from heathford.standin.platform import EVENTS, GOOD, READ
 
@@ -57,7 +62,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A new connection makes room in the moment between an answer and the next request's turn."""
-    after(monkeypatch, ClientConnection, "answer", lambda connection: connection.clients.make_room())
+    after(monkeypatch, ClientConnection, "send_response", lambda connection: connection.server.evict_one())
 
     async def day(play: FrontSetup) -> None:
         client = play.client()
@@ -77,7 +82,7 @@
         client.send(first)
         await run_loop_turns()
         client.send(request("c1")[len(first) :])
-        assert not play.node.clients.make_room()
+        assert not play.node.clients.evict_one()
         await until(lambda: play.engines[0].posts == 2, "the request")
 
     run_scenario(tmp_path, day)
@@ -91,11 +96,11 @@
         await run_loop_turns()
         server = play.node.clients
         assert (
-            server.make_room() and await idle.wait_until_closed() == idle.received
+            server.evict_one() and await idle.wait_until_closed() == idle.received
         )  # answered and stays: first
         for _ in range(2):
-            assert server.make_room()
-        assert not server.make_room()
+            assert server.evict_one()
+        assert not server.evict_one()
         assert await half.wait_for_answers(1) == [503] and (await half.wait_until_closed()).endswith(
             b"slow\n"
         )
@@ -114,7 +119,7 @@
         connection.write(900_000 * b"x")
         while connection.flushed:
             connection.write(100_000 * b"x")
-        assert not play.node.clients.make_room()
+        assert not play.node.clients.evict_one()
 
     run_scenario(tmp_path, day)
 
@@ -132,8 +137,8 @@
         await until(lambda: len(play.node.clients.connections) == 80, "the connections")
         for client in clients[:unread]:
             client.send(HALF)
-        made = play.node.clients.make_room()
-        assert len(looks) == min(unread + 1, EVICTION_LOOKS) and made == (unread < EVICTION_LOOKS)
+        made = play.node.clients.evict_one()
+        assert len(looks) == min(unread + 1, MAX_EVICTION_CHECKS) and made == (unread < MAX_EVICTION_CHECKS)
 
     run_scenario(tmp_path, day)
 
@@ -141,7 +146,7 @@
 # Connections that idle.
 
 
-@pytest.mark.parametrize("since", [IDLE, 10 * IDLE])
+@pytest.mark.parametrize("since", [IDLE_TIMEOUT, 10 * IDLE_TIMEOUT])
 def test_a_request_that_crosses_the_idle_time_out_is_served(tmp_path: Path, since: float) -> None:
     async def day(play: FrontSetup) -> None:
         client = play.client()
@@ -161,7 +166,7 @@
         client = play.client()
         await until(lambda: len(play.node.clients.connections) == 1, "the connection")
         client.send(request("c0"))
-        play.node.clients.sweep(play.node.loop.time() + FIRST)
+        play.node.clients.sweep(play.node.loop.time() + FIRST_BYTE_TIMEOUT)
         await serve(play)
         assert await client.wait_for_answers(1) == [200]
 
@@ -173,7 +178,7 @@
         client = play.client()
         client.send(HALF)
         await run_loop_turns()
-        play.node.clients.sweep(play.node.loop.time() + 10 * FIRST)
+        play.node.clients.sweep(play.node.loop.time() + 10 * FIRST_BYTE_TIMEOUT)
         assert await client.wait_for_answers(1) == [408] and (await client.wait_until_closed()).endswith(
             b"time\n"
         )
@@ -283,7 +288,7 @@
         releases = asyncio.create_task(answer_releases(*play.engines))
         held = await play.submit_until_decode(client)
         end = await ending(play)
-        await asyncio.sleep(STILL_ASKED + 0.02)
+        await asyncio.sleep(SHUTDOWN_ACCEPT_PERIOD + 0.02)
         releases.cancel()
         client.send(request("c1"))
         await run_loop_turns()
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -147,7 +147,7 @@
     epoll.register(near.fileno(), select.EPOLLIN)
     assert epoll.poll(1.0) == [(near.fileno(), select.EPOLLIN)]
     epoll.unregister(near.fileno())
-    assert epoll.poll(0.0) == [] and not epoll.refused
+    assert epoll.poll(0.0) == [] and not epoll.pending_changes
     epoll.register(near.fileno(), select.EPOLLOUT)
     epoll.modify(near.fileno(), select.EPOLLIN)
     assert epoll.poll(1.0) == [(near.fileno(), select.EPOLLIN)]
@@ -187,7 +187,7 @@
 
 def test_the_error_of_a_close_is_kept_from_the_event_loop(monkeypatch: pytest.MonkeyPatch) -> None:
     near, far = socket.socketpair()
-    taken = RetryingSocket.taking(near)
+    taken = RetryingSocket.take_over(near)
     with monkeypatch.context() as patch:
         patch.setattr(socket.socket, "close", lambda self: fail(errno.EIO))
         taken.close()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -94,7 +94,7 @@
         a, b = play.engines
         client = play.client()
         client.send(request("c0"))
-        await until(lambda: bool(play.node.clients.open), "the request")
+        await until(lambda: bool(play.node.clients.open_requests), "the request")
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             for _ in range(20):
