--- a/heathford/platform/request_acceptance.py
+++ b/heathford/platform/request_acceptance.py
@@ -83,7 +83,7 @@
     if not budget:
         raise RequestError(400, "no time left")
     cost = headers.get("x-call-cost")
-    answer_hint = parse_whole_number(cost, "X-Call-Cost", 10**12) / 1e6 if cost else 0.0
+    hint_seconds = parse_whole_number(cost, "X-Call-Cost", 10**12) / 1e6 if cost else 0.0
     key = headers.get(IDEMPOTENCY_KEY_HEADER, "")
     if not KEY_PATTERN.fullmatch(key):
         raise RequestError(400, f"{IDEMPOTENCY_KEY_HEADER} can't be read")
@@ -118,6 +118,6 @@
         mark=key,
         received=received,
         name=name,
-        answer_hint=answer_hint,
+        answer_hint=hint_seconds,
         size=len(request.body),
     )
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""A router with stand-in doors that record what it asks for."""
+"""Harnesses that run the router or the core without I/O and record their actions."""
 
 import gc
 from collections.abc import Callable, Iterator
@@ -7,11 +7,11 @@
 
 import pytest
 
+from heathford.core.accepted_request import AcceptedRequest
 from heathford.core.core import Core
-from heathford.core.protocols import Arrival, CallEvents, Endpoint, ReleaseEvents
 from heathford.core.gate import Gate, Rule
-from heathford.core.accepted_request import AcceptedRequest
-from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
+from heathford.core.protocols import Arrival, CallEvents, Endpoint, ReleaseEvents
+from heathford.interface import Effect, EngineKind, Group, Health, Outcome, Role, Workload
 from heathford.policy import RequestState, Router
 from heathford.policy.transfer import TransferRates
 
@@ -19,9 +19,11 @@
 
 
 def pytest_collection_finish() -> None:
-    """As a front node does once it is ready. Guards against a pause of the test process's own: one full
-    collection of all that two thousand collected tests are made of takes 0.10 to 0.18 s on a quiet machine,
-    and fell into what tests measure in hundredths of a second."""
+    """Freeze the objects of the collected tests, as a front node freezes its own once it is ready.
+
+    A full garbage collection over two thousand collected tests takes 0.10 to 0.18 s on a quiet machine, and
+    fell into tests that measure hundredths of a second.
+    """
     gc.collect()
     gc.freeze()
 
@@ -34,13 +36,16 @@
 
 
 class RouterHarness:
-    """One instance, its clock, its engines and what was done for each completion."""
+    """A router with its clock and engines, which records the actions that the router asks for.
+
+    It plays the protocols of the router's owner and of each request's owner.
+    """
 
     def __init__(self, now: float = 100.0, **settings: Any) -> None:
         self.now = now
-        self.done: list[tuple[Any, ...]] = []
-        self.attempt_timeout = 0.0  # s that the last dispatch may take
-        self.retry_after = -1.0  # s that the last rate-limited client should stay away
+        self.actions: list[tuple[Any, ...]] = []
+        self.attempt_timeout = 0.0  # s, of the last attempt
+        self.retry_after = -1.0  # s, of the last rate-limited answer
         effect, group = settings.pop("effect", Effect.IDEMPOTENT), settings.pop("group", Group.ALL)
         values: dict[str, Any] = dict(
             seed=1,
@@ -63,10 +68,10 @@
         )
         self.router = Router(self, self, **(values | settings))  # type: ignore[arg-type]
 
-    def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
-        """Rows of number and kind; the cell is the number's tens, the zone its hundreds."""
+    def engines(self, *entries: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
+        """Update engines, each given as number and kind; its cell is number // 10, its zone number // 100."""
         self.router.begin_list_update(complete=False)
-        for number, kind in rows:
+        for number, kind in entries:
             self.router.update_engine(number, number // 100, kind, number // 10, health, 1.0, started)
         self.router.end_list_update()
 
@@ -79,16 +84,14 @@
             answer_hint=0.0,
             deadline=self.now + 5.0,
         )
-        completion = self.router.accept(
-            self, session=session, shared=shared, prompt=prompt, **(fields | more)
-        )
+        request = self.router.accept(self, session=session, shared=shared, prompt=prompt, **(fields | more))
         self.router.decide()
-        return completion
+        return request
 
     def end(
         self,
-        completion: RequestState,
-        verdict: Outcome,
+        request: RequestState,
+        outcome: Outcome,
         *,
         after: float = 0.1,
         detail: int = 0,
@@ -96,50 +99,50 @@
         **load: float,
     ) -> None:
         self.now += after
-        seq = len(completion.attempts) - 1
-        completion.ended(seq, verdict, after, closed, detail, load)
+        seq = len(request.attempts) - 1
+        request.ended(seq, outcome, after, closed, detail, load)
         self.router.decide()
 
-    def first(self, completion: RequestState, after: float = 0.1) -> None:
+    def first(self, request: RequestState, after: float = 0.1) -> None:
         self.now += after
-        completion.first_token(len(completion.attempts) - 1, after)
+        request.first_token(len(request.attempts) - 1, after)
         self.router.decide()
 
     def wait(self, seconds: float) -> None:
-        """Time passes, with the router woken as often as it asks for."""
+        """Let time pass, with a decision every 20 ms."""
         end = self.now + seconds
         while self.now < end:
             self.now += 0.02
             self.router.decide()
 
     def asked(self) -> list[tuple[Any, ...]]:
-        """What was asked for since the last look, wake-ups aside."""
-        done, self.done = [d for d in self.done if d[0] != "wake"], []
-        return done
+        """Return the actions since the last call, without wake-ups."""
+        actions, self.actions = [d for d in self.actions if d[0] != "wake"], []
+        return actions
 
     def send(self, engine: int, timeout: float) -> None:
         assert timeout > 0
         self.attempt_timeout = timeout
-        self.done.append(("send", engine))
+        self.actions.append(("send", engine))
 
     def cancel(self, seq: int) -> None:
-        self.done.append(("cancel", seq))
+        self.actions.append(("cancel", seq))
 
     def rate_limit(self, retry_after: float) -> None:
         self.retry_after = retry_after
-        self.done.append(("rate_limit",))
+        self.actions.append(("rate_limit",))
 
     def abort(self) -> None:
-        self.done.append(("abort",))
+        self.actions.append(("abort",))
 
     def release(self) -> None:
-        self.done.append(("release",))
+        self.actions.append(("release",))
 
     def wake(self, after: float) -> None:
-        self.done.append(("wake", after))
+        self.actions.append(("wake", after))
 
     def subscribe(self) -> None:
-        self.done.append(("subscribe",))
+        self.actions.append(("subscribe",))
 
 
 @pytest.fixture
@@ -152,22 +155,22 @@
         self.when, self.call, self.cancelled = when, call, False
 
     def cancel(self) -> None:
-        self.cancelled, self.call = True, lambda: None  # as asyncio does: what it would have called is free
+        self.cancelled, self.call = True, lambda: None  # as asyncio does, to free the callback
 
 
 class ManualLoop:
-    """A loop whose time moves only when told to."""
+    """An event loop whose time moves only in `pass_time`."""
 
     def __init__(self) -> None:
         self.now = 100.0
-        self.soon: list[Callable[[], None]] = []
+        self.scheduled: list[Callable[[], None]] = []
         self.timers: list[ManualTimer] = []
 
     def time(self) -> float:
         return self.now
 
     def call_soon(self, call: Callable[[], None]) -> None:
-        self.soon.append(call)
+        self.scheduled.append(call)
 
     def call_at(self, when: float, call: Callable[[], None]) -> ManualTimer:
         timer = ManualTimer(when, call)
@@ -175,8 +178,8 @@
         return timer
 
     def turn(self) -> None:
-        while self.soon:
-            calls, self.soon = self.soon, []
+        while self.scheduled:
+            calls, self.scheduled = self.scheduled, []
             for call in calls:
                 call()
 
@@ -193,11 +196,11 @@
 
 
 class RecordedAttempt:
-    """A dispatch as a recording link holds it."""
+    """An attempt that a RecordingLink was asked to send."""
 
     def __init__(self, engine: str, name: str, kv: Any, events: CallEvents) -> None:
         self.engine, self.name, self.kv, self.events, self.cancelled = engine, name, kv, events, False
-        self.begun = True  # something of it has left
+        self.begun = True  # part of it has been sent
         self.withdrawn = False
 
     def cancel(self) -> None:
@@ -205,11 +208,11 @@
         self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
     def is_progressing(self) -> bool:
-        """What was sent has arrived, here."""
+        """Return False: whatever is sent has arrived already."""
         return False
 
     def give_up_unless_arrived(self) -> Arrival:
-        """What was sent has arrived, here."""
+        """Report that the attempt has arrived, as here every one has."""
         return Arrival.CONFIRMED
 
     def withdraw(self) -> None:
@@ -219,7 +222,7 @@
 
 
 class RecordingReleaseEvents:
-    """What a link tells of one release, as lines."""
+    """Records the events of one release as lines."""
 
     def __init__(self) -> None:
         self.events: list[str] = []
@@ -238,13 +241,15 @@
 
 
 class RecordingLink:
-    may_read_late = False  # what was sent is read at once, here
+    """A link to engines that records attempts and releases, and sends nothing."""
+
+    may_read_late = False  # whatever is sent is read at once
 
     def __init__(self) -> None:
         self.transfers = TransferRates()
         self.attempts: list[RecordedAttempt] = []
         self.released: list[str] = []
-        self.confirms = True  # each release, at once
+        self.confirms = True  # whether each release is confirmed at once
         self.releases: list[ReleaseEvents] = []
         self.last_heard: dict[str, float] = {}
         self.liveness_checks: list[tuple[str, Callable[[bool], None]]] = []
@@ -271,7 +276,7 @@
 
 
 class RecordingClient:
-    """A sink that keeps what it is told."""
+    """A response writer that records the answer."""
 
     def __init__(self) -> None:
         self.text: list[str] = []
@@ -295,7 +300,7 @@
 
 
 class CoreHarness:
-    """A core on a loop whose time is told, with a link that records."""
+    """A core on a ManualLoop with a RecordingLink."""
 
     def __init__(
         self, effect: Effect = Effect.IDEMPOTENT, cold_multiple: float = 2.5, may_cancel: bool = True
@@ -323,31 +328,31 @@
             stream_limit=5.0,
         )
 
-    def engines(self, *rows: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
+    def engines(self, *entries: tuple[int, int], health: Health = Health.ON, started: float = 0.0) -> None:
         self.core.apply_endpoint_list(
             False,
             [
                 (Endpoint(n, f"e{n}", KINDS[kind].role, "127.0.0.1", n), 0, kind, 1, health, 1.0, started)
-                for n, kind in rows
+                for n, kind in entries
             ],
         )
         self.loop.turn()
 
     def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[RecordingClient, AcceptedRequest]:
         client = RecordingClient()
-        taken = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
+        accepted_request = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
         self.loop.turn()
-        return client, taken
+        return client, accepted_request
 
     def read(self) -> None:
-        out = self.link.attempts[-1]
-        out.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": out.name}})
+        attempt = self.link.attempts[-1]
+        attempt.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": attempt.name}})
         self.loop.turn()
 
 
 @pytest.fixture(autouse=True)
 def no_violations(monkeypatch: pytest.MonkeyPatch) -> Iterator[list[str]]:
-    """A rule that the gate sees violated fails the test, whatever else it asserts."""
+    """Fail the test, whatever else it asserts, if the gate records a violation of a rule."""
     seen: list[str] = []
     count = Gate.record_violation
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,4 +1,4 @@
-"""Pytest plugin for KNOWN-RED.txt: tests that fail for a real fault which is not mended yet.
+"""Pytest plugin for KNOWN-RED.txt: tests that fail because of a known fault that is not fixed yet.
 
 Each line names one test, the cause and the issue, separated by ``|``. These tests are expected to fail,
 strictly: one that passes fails the run until its line is removed. Empty lines and lines that begin with ``#``
@@ -17,7 +17,7 @@
 
 
 class KnownRedError(Exception):
-    """The file breaks its own rules."""
+    """The file is malformed, too long, or names a test that does not exist."""
 
 
 @dataclass(frozen=True)
@@ -53,7 +53,7 @@
 
 
 def unknown_to(root: Path, entries: Sequence[KnownFailure]) -> list[str]:
-    """Return the listed tests whose file does not define them; told before any test is collected."""
+    """Return the listed tests whose file does not define them; needs no collected tests."""
     unknown = []
     for entry in entries:
         file, _, name = entry.node_id.partition("::")
@@ -71,7 +71,7 @@
 
 
 def pytest_configure(config: pytest.Config) -> None:
-    """Refuse a file that breaks its rules, before workers are started that could not tell it."""
+    """Refuse a malformed file before workers start, as they could not report it."""
     try:
         if unknown := unknown_to(config.rootpath, read(config.rootpath)):
             raise KnownRedError(f"{FILE_NAME}: no such test: {', '.join(unknown)}")
@@ -81,7 +81,7 @@
 
 @pytest.hookimpl(tryfirst=True)
 def pytest_collection_modifyitems(config: pytest.Config, items: list[pytest.Item]) -> None:
-    """Mark the listed tests as expected to fail, and refuse a file that breaks its rules."""
+    """Mark the listed tests as expected to fail, and refuse a file that lists unknown tests."""
     try:
         entries = read(config.rootpath)
         chosen_tests = any("::" in argument for argument in config.args)
@@ -106,7 +106,7 @@
 
 
 def pytest_terminal_summary(terminalreporter: TerminalReporter, config: pytest.Config) -> None:
-    """Print the listed tests, so that nobody takes the run for a clean one."""
+    """Print the listed tests, so that the run is not taken for one without failures."""
     try:
         entries = read(config.rootpath)
     except KnownRedError:
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -1,4 +1,4 @@
-"""Front nodes as processes of their own, whose log the test reads."""
+"""Front nodes as processes of their own, whose logs the test reads."""
 
 import asyncio
 import os
@@ -13,22 +13,22 @@
 from heathford.child_signals import send_signal
 from heathford.standin.platform import Agent, settings
 
-PLATFORM_COMMAND = ("-m", "heathford", "--log", "json", "platform")  # arguments of the interpreter
+PLATFORM_COMMAND = ("-m", "heathford", "--log", "json", "platform")  # arguments of the Python interpreter
 
 
 def write_configuration(path: Path, discovery: str) -> bytes:
-    said = orjson.dumps(
+    configuration = orjson.dumps(
         {"discovery": discovery, "limits": {"sockets": 256}, "seed": 1, "settings": settings()}
     )
-    path.write_bytes(said)
-    return said
+    path.write_bytes(configuration)
+    return configuration
 
 
 @asynccontextmanager
 async def node_process(
     folder: Path, *arguments: str, listen: str = "127.0.0.1:0"
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """A process that is told all by a platform of its own; killed in the end if it still runs."""
+    """Start a front node with an agent and a configuration of its own; kill it at the end if it runs."""
     agent = Agent()
     address = await agent.open()
     path = folder / "config.json"
@@ -54,8 +54,8 @@
         agent.close()
 
 
-async def wait_for_log(process: asyncio.subprocess.Process, words: bytes) -> None:
-    """Read its log up to a line with these words."""
+async def wait_for_log(process: asyncio.subprocess.Process, text: bytes) -> None:
+    """Read the process's log up to a line that contains the text."""
     assert process.stderr
-    while words not in (line := await process.stderr.readline()):
-        assert line, "it has ended"
+    while text not in (line := await process.stderr.readline()):
+        assert line, "the process has ended"
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -1,7 +1,7 @@
-"""A front node in the test's own event loop, and peers that are plain sockets.
+"""A front node in the test's own event loop, whose clients and engines are plain sockets.
 
-The test is each peer. What it does between two awaits happens while the loop is held up, so the test decides
-in which order events reach the front node: all of it lies in the kernel when the loop looks again.
+The test plays each peer. What it does between two awaits happens while the loop is stalled, so that the test
+decides the order of events: all of them wait in the kernel when the loop polls again.
 """
 
 import asyncio
@@ -22,29 +22,29 @@
 from heathford.standin.platform import EVENTS, GOOD, READ, Agent, settings
 
 ALL = b"".join(EVENTS)
-PATIENCE = 5.0  # s for what has to happen: far beyond what it takes
+TIMEOUT = 5.0  # s for an awaited condition: far longer than it takes
 RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close with a reset
 LONGEST = 1 << 20
 
 
-async def until(true: Callable[[], bool], why: str = "") -> None:
-    """Let the loop turn until that holds."""
+async def until(condition: Callable[[], bool], expected: str = "") -> None:
+    """Let the loop run until the condition holds; fail with `expected` if it does not in TIMEOUT."""
     try:
-        async with asyncio.timeout(PATIENCE):
-            while not true():
+        async with asyncio.timeout(TIMEOUT):
+            while not condition():
                 await asyncio.sleep(0.002)
     except TimeoutError:
-        raise AssertionError(f"never came: {why}") from None
+        raise AssertionError(f"never came: {expected}") from None
 
 
 async def run_loop_turns(count: int = 60) -> None:
-    """Let the loop turn that often, and no time pass but what that takes."""
+    """Run that many turns of the loop, without sleeping."""
     for _ in range(count):
         await asyncio.sleep(0)
 
 
 def disable_nagle(sock: socket.socket) -> None:
-    """Bytes arrive as they are written: else a small write waits for the one before it to be confirmed."""
+    """Send small writes at once: otherwise they wait until the one before is acknowledged."""
     sock.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
 
 
@@ -57,11 +57,11 @@
 def request(
     name: str, budget: int = 4000, request_class: str = "chat", keep: bool = True, size: int = 36
 ) -> bytes:
-    """A completion as clients ask for it; size: bytes of its prompt."""
+    """Return a completion request as clients send it. budget: ms; size: bytes of its prompt."""
     body = orjson.dumps({"stream": True, "messages": [{"role": "user", "content": "x" * size}]})
-    close = "" if keep else "Connection: close\r\n"
+    connection_header = "" if keep else "Connection: close\r\n"
     return (
-        f"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\n{close}"
+        f"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\n{connection_header}"
         f"X-Call-Class: {request_class}\r\nX-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n"
         "X-Call-Info: prompt_len=9,prefix_len=0,max_out=20\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
@@ -69,14 +69,14 @@
 
 
 class RawConnection:
-    """One connection at an engine; `got` is what came on it."""
+    """A connection that an engine accepted; `received`: all bytes that came on it."""
 
     def __init__(self, sock: socket.socket) -> None:
         self.sock = sock
         self.received = b""
 
     def read_available(self) -> bytes:
-        """Take in what has come; b"" at the end."""
+        """Read without waiting; return everything received so far."""
         while self.sock.fileno() >= 0 and readable(self.sock):
             try:
                 part = self.sock.recv(65_536)
@@ -88,20 +88,20 @@
         return self.received
 
     def header(self, name: str) -> str:
-        """Of the last request that came."""
+        """Return a header of the last POST request."""
         last = self.read_available().rpartition(b"POST ")[2].partition(b"\r\n\r\n")[0].decode()
         fields = dict(line.split(": ", 1) for line in last.split("\r\n")[1:])
         return fields[name]
 
 
 class RawEngine:
-    """A listening socket; connections are accepted by `posts` and `deletes`."""
+    """A listening socket; connections are accepted whenever requests are counted."""
 
     def __init__(self, uid: str, model: str) -> None:
         self.uid, self.model, self.state, self.boot_ms = uid, model, "SERVING", 0
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.connections: list[RawConnection] = []
-        self.latest: dict[bytes, RawConnection] = {}  # by method: where something came last
+        self.latest: dict[bytes, RawConnection] = {}  # by method: the one with the latest request
 
     @property
     def address(self) -> str:
@@ -122,15 +122,15 @@
         }
 
     def count(self, method: bytes) -> int:
-        """How many requests of that method have come, whole or not."""
+        """Return how many requests of that method have arrived, complete or not."""
         while readable(self.listener):
             self.connections.append(RawConnection(self.listener.accept()[0]))
             disable_nagle(self.connections[-1].sock)
-        for held in self.connections:
-            seen = len(held.received)
-            if len(held.read_available()) > seen:
-                self.latest[b"POST" if b"POST /" in held.received[seen:] else b"DELETE"] = held
-        return sum(held.received.count(method + b" /") for held in self.connections)
+        for connection in self.connections:
+            known = len(connection.received)
+            if len(connection.read_available()) > known:
+                self.latest[b"POST" if b"POST /" in connection.received[known:] else b"DELETE"] = connection
+        return sum(connection.received.count(method + b" /") for connection in self.connections)
 
     @property
     def posts(self) -> int:
@@ -141,22 +141,22 @@
         return self.count(b"DELETE")
 
     async def wait_for_request(self, count: int = 1, method: bytes = b"POST") -> RawConnection:
-        """The connection on which the latest of so many requests came."""
+        """Wait until so many requests have arrived; return the connection with the latest."""
         await until(lambda: self.count(method) >= count, f"{method!r} {count} at {self.uid}")
         return self.latest[method]
 
     def reset_counts(self) -> None:
-        """Count from here; connections stay."""
-        for held in self.connections:
-            held.received = b""
+        """Count requests anew from here; connections stay open."""
+        for connection in self.connections:
+            connection.received = b""
 
     def close(self) -> None:
-        for sock in (self.listener, *(held.sock for held in self.connections)):
+        for sock in (self.listener, *(connection.sock for connection in self.connections)):
             sock.close()
 
 
 async def answer_releases(*engines: RawEngine) -> None:
-    """Answer each DELETE, as every engine that runs does; for a task that is cancelled."""
+    """Answer each DELETE with 204, as running engines do; for a task that is cancelled at the end."""
     answered = dict.fromkeys(engines, 0)
     while True:
         for engine in engines:
@@ -187,7 +187,7 @@
         self.sock.sendall(data)
 
     def disconnect(self, how: str) -> None:
-        """closed, reset, or half closed: it has gone, as the protocol page has it."""
+        """Leave in one way of "closed", "reset" and "half closed"; the protocol treats all alike."""
         if how == "reset":
             self.sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
         if how == "half closed":
@@ -208,12 +208,12 @@
 
     @property
     def answers(self) -> list[int]:
-        """Statuses of the answers that have begun."""
+        """Statuses of the answers that have started."""
         return [int(part.split(b" ", 1)[0]) for part in self.read_available().split(b"HTTP/1.1 ")[1:]]
 
     @property
     def whole_streams(self) -> int:
-        """How many streams have come to their last chunk."""
+        """How many streams have arrived up to their last chunk."""
         return self.read_available().count(b"0\r\n\r\n")
 
     async def wait_for_answers(self, answers: int) -> list[int]:
@@ -226,7 +226,7 @@
 
 
 class FrontSetup:
-    """A front node, its engines and its discovery."""
+    """A front node with its engines, its discovery and its clients."""
 
     def __init__(self, node: Node, agent: Agent, engines: tuple[RawEngine, ...]) -> None:
         self.node, self.agent, self.engines = node, agent, engines
@@ -237,39 +237,46 @@
         return self.clients[-1]
 
     def publish_entries(self, *engines: RawEngine) -> None:
-        """The list has changed."""
+        """Have discovery send these engines' entries as a change of the list."""
         self.agent.say(*(engine.row for engine in engines))
 
     async def answer(self, client: RawClient, name: str) -> None:
-        """One request read and written, after which all connections stand idle."""
-        reader, writer = self.engines[0], self.engines[1]
-        reads, writes, whole = reader.posts, writer.posts, client.whole_streams
+        """Serve one request with the first two engines; afterwards all connections are idle."""
+        prefill_engine, decode_engine = self.engines[0], self.engines[1]
+        prefill_count, decode_count, stream_count = (
+            prefill_engine.posts,
+            decode_engine.posts,
+            client.whole_streams,
+        )
         client.send(request(name))
-        (await reader.wait_for_request(reads + 1)).sock.sendall(READ)
-        (await writer.wait_for_request(writes + 1)).sock.sendall(GOOD)
-        await until(lambda: client.whole_streams == whole + 1, "the stream's end")
+        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(READ)
+        (await decode_engine.wait_for_request(decode_count + 1)).sock.sendall(GOOD)
+        await until(lambda: client.whole_streams == stream_count + 1, "the stream's end")
 
     async def answer_anywhere(self, client: RawClient, name: str) -> None:
-        """One request read by the first engine and written by whichever other one is asked."""
-        reader, *writers = self.engines
-        reads, whole = reader.posts, client.whole_streams
-        before = [writer.posts for writer in writers]
+        """Serve one request: prefill at the first engine, decode at whichever other is chosen."""
+        prefill_engine, *decode_engines = self.engines
+        prefill_count, stream_count = prefill_engine.posts, client.whole_streams
+        counts_before = [decode_engine.posts for decode_engine in decode_engines]
         client.send(request(name))
-        (await reader.wait_for_request(reads + 1)).sock.sendall(READ)
-        await until(lambda: [writer.posts for writer in writers] != before, "a decode attempt")
-        asked = next(w for w, posts in zip(writers, before, strict=True) if w.posts > posts)
+        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(READ)
+        await until(
+            lambda: [decode_engine.posts for decode_engine in decode_engines] != counts_before,
+            "a decode attempt",
+        )
+        asked = next(w for w, posts in zip(decode_engines, counts_before, strict=True) if w.posts > posts)
         asked.latest[b"POST"].sock.sendall(GOOD)
-        await until(lambda: client.whole_streams == whole + 1, "the stream's end")
+        await until(lambda: client.whole_streams == stream_count + 1, "the stream's end")
         await self.wait_until_reusable()
 
     async def submit_until_decode(self, client: RawClient) -> RawConnection:
-        """The first request of the day, read by now: the connection of its decode attempt."""
+        """Send the first request and prefill it; return the connection of its decode attempt."""
         client.send(request("c0"))
         (await self.engines[0].wait_for_request()).sock.sendall(READ)
         return await self.engines[1].wait_for_request()
 
     async def wait_until_reusable(self) -> None:
-        """Until connections to engines that were in use may be used again."""
+        """Wait until connections to engines may be reused after their last answer."""
         await asyncio.sleep(REUSE_DELAY + 0.01)
 
 
@@ -280,32 +287,34 @@
     name: str = "n0",
     sockets: int = 256,
     setting: Callable[[dict[str, Any]], None] | None = None,
-    **limits: Any,
+    **setting_options: Any,
 ) -> AsyncIterator[FrontSetup]:
-    """A started front node. setting: changes the settings that it is told."""
+    """Start a front node. setting: changes its settings; other options go to `settings`."""
     agent = Agent()
     agent.engines = list(engines)  # type: ignore[arg-type]
     address = await agent.open()
-    said = settings(**limits)
+    node_settings = settings(**setting_options)
     if setting:
-        setting(said)
+        setting(node_settings)
     path = folder / f"{name}.json"
     path.write_bytes(
-        orjson.dumps({"discovery": address, "limits": {"sockets": sockets}, "seed": 7, "settings": said})
+        orjson.dumps(
+            {"discovery": address, "limits": {"sockets": sockets}, "seed": 7, "settings": node_settings}
+        )
     )
     host, _, port = address.rpartition(":")
     node = Node(name, ("127.0.0.1", 0), (host, int(port)), read_configuration(path), path)
-    day = FrontSetup(node, agent, engines)
+    setup = FrontSetup(node, agent, engines)
     try:
         async with asyncio.timeout(20.0):
             await node.start()
             await agent.until_watched()
-            yield day
+            yield setup
     finally:
         node.watch.stop()
         if node.server:
             node.server.close()
-        for client in day.clients:
+        for client in setup.clients:
             client.sock.close()
         for connection in list(node.clients.connections):
             connection.drop()
@@ -317,25 +326,25 @@
 
 
 def run_scenario(
-    folder: Path, day: Callable[[FrontSetup], Awaitable[None]], *engines: RawEngine, **more: Any
+    folder: Path, scenario: Callable[[FrontSetup], Awaitable[None]], *engines: RawEngine, **options: Any
 ) -> None:
-    """Play that against a front node; with one prefill and one decode engine where none are given."""
+    """Run a scenario against a front node, by default with one prefill and one decode engine."""
 
-    async def play() -> None:
-        async with front_node(folder, *(engines or (prefill(), decode())), **more) as made:
-            await day(made)
+    async def run_with_setup() -> None:
+        async with front_node(folder, *(engines or (prefill(), decode())), **options) as setup:
+            await scenario(setup)
 
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
-        runner.run(play())
+        runner.run(run_with_setup())
 
 
 @contextmanager
 def small_reads(size: int = 512) -> Iterator[None]:
-    """Transports read that many bytes a turn, as a long backlog is read: many turns lie before its end."""
+    """Have transports read only so many bytes per turn, so that a backlog takes many turns to read."""
     transport: Any = asyncio.selector_events._SelectorSocketTransport  # type: ignore[attr-defined]
-    before = transport.max_size
+    max_size_before = transport.max_size
     transport.max_size = size
     try:
         yield
     finally:
-        transport.max_size = before
+        transport.max_size = max_size_before
--- a/tests/test_child_signals.py
+++ b/tests/test_child_signals.py
@@ -12,34 +12,34 @@
 
 from heathford.child_signals import send_signal
 
-STATUS = 7
+EXIT_STATUS = 7
 
 
-def has_ended(pid: int) -> bool:
-    """It has, and nobody has taken its status yet."""
+def is_zombie(pid: int) -> bool:
+    """Whether the process has ended and nobody has read its exit status yet."""
     return Path(f"/proc/{pid}/stat").read_text().rpartition(")")[2].split()[0] == "Z"
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM, signal.SIGKILL])
-def test_a_signal_leaves_a_child_s_exit_status_to_its_watcher(
+def test_send_signal_leaves_the_exit_status_to_the_child_watcher(
     monkeypatch: pytest.MonkeyPatch, number: signal.Signals
 ) -> None:
-    """Guards against an exit status of 255 that no process had, told of one that ended in order."""
-    wait, may_wait = os.waitpid, threading.Event()
+    """asyncio reported status 255 for a child that had ended normally, if the signal polled it first."""
+    real_waitpid, may_reap = os.waitpid, threading.Event()
 
-    def waits(*arguments: Any) -> tuple[int, int]:
-        may_wait.wait(5.0)
-        return wait(*arguments)
+    def delayed_waitpid(*arguments: Any) -> tuple[int, int]:
+        may_reap.wait(5.0)
+        return real_waitpid(*arguments)
 
-    monkeypatch.setattr(os, "waitpid", waits)
+    monkeypatch.setattr(os, "waitpid", delayed_waitpid)
 
-    async def day() -> None:
-        child = await asyncio.create_subprocess_exec(sys.executable, "-c", f"raise SystemExit({STATUS})")
+    async def scenario() -> None:
+        child = await asyncio.create_subprocess_exec(sys.executable, "-c", f"raise SystemExit({EXIT_STATUS})")
         async with asyncio.timeout(10.0):
-            while not has_ended(child.pid):
+            while not is_zombie(child.pid):
                 await asyncio.sleep(0.005)
             send_signal(child, number)
-            may_wait.set()
-            assert await child.wait() == STATUS
+            may_reap.set()
+            assert await child.wait() == EXIT_STATUS
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/test_eviction.py
+++ b/tests/test_eviction.py
@@ -1,4 +1,4 @@
-"""Which connections make way, in which order, at what cost."""
+"""The order in which idle client connections are evicted."""
 
 from dataclasses import dataclass
 
@@ -21,7 +21,7 @@
     return [connection.name for connection in queues.eviction_order(NOW)]
 
 
-def test_the_order_in_which_they_make_way() -> None:
+def test_eviction_order() -> None:
     queues = EvictionQueues[Connection]()
     for connection in (
         Connection("silent", Idleness.SILENT, NOW - SILENT_GRACE),
@@ -37,21 +37,23 @@
     assert len(queues) == 6
 
 
-@pytest.mark.parametrize("then", [*Idleness, None])
-def test_a_connection_that_changes_stands_in_one_place(then: Idleness | None) -> None:
+@pytest.mark.parametrize("new_idleness", [*Idleness, None])
+def test_changed_connection_is_in_one_queue_only(new_idleness: Idleness | None) -> None:
     queues = EvictionQueues[Connection]()
     first, other = Connection("a", Idleness.ANSWERED, 1.0), Connection("b", Idleness.ANSWERED, 2.0)
     queues.update(first)
     queues.update(other)
-    first.idleness, first.idle_since = then, 3.0
+    first.idleness, first.idle_since = new_idleness, 3.0
     queues.update(first)
-    assert names(queues).count("a") == (then is not None) and len(queues) == 1 + (then is not None)
+    assert names(queues).count("a") == (new_idleness is not None) and len(queues) == 1 + (
+        new_idleness is not None
+    )
     queues.remove(first)
     queues.remove(first)
     assert names(queues) == ["b"]
 
 
-def test_one_that_was_answered_again_goes_to_the_end() -> None:
+def test_connection_answered_again_moves_to_the_end() -> None:
     queues = EvictionQueues[Connection]()
     first, other = Connection("a", Idleness.ANSWERED, 1.0), Connection("b", Idleness.ANSWERED, 2.0)
     queues.update(first)
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -1,4 +1,4 @@
-"""A start and a reload during which system calls fail for a moment: they come a moment later."""
+"""Starts and reloads during which system calls fail for a moment: they are retried."""
 
 import asyncio
 import errno
@@ -15,26 +15,26 @@
 from heathford.standin.platform import Agent
 
 FAILURES = 3
-OF_A_MOMENT = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EIO)
+TRANSIENT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EIO)
 
 
-class Failing:
-    """A call that fails so often, then is the real one."""
+class FailingCall:
+    """Fails FAILURES times, then makes the real call."""
 
     def __init__(self, call: Any, number: int) -> None:
         self.call, self.number, self.left = call, number, FAILURES
 
-    def __call__(self, *given: Any, **named: Any) -> Any:
+    def __call__(self, *args: Any, **kwargs: Any) -> Any:
         if self.left:
             self.left -= 1
             raise OSError(self.number, "for a moment")
-        return self.call(*given, **named)
+        return self.call(*args, **kwargs)
 
 
-def test_a_front_node_starts_once_its_address_is_free(tmp_path: Path) -> None:
-    """As where the connection of another program has its port, or the system has no descriptor left."""
+def test_start_waits_until_the_address_is_free(tmp_path: Path) -> None:
+    """A connection of another program may hold the port, or the system may be out of descriptors."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         with socket.create_server(("127.0.0.1", 0)) as other:
             listen = f"127.0.0.1:{other.getsockname()[1]}"
             async with (
@@ -46,42 +46,42 @@
                 other.close()
                 await wait_for_log(process, b'"ready"')
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_configuration_is_read_once_the_system_lets_it(
+def test_configuration_is_read_after_transient_errors(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     path = tmp_path / "config.json"
     write_configuration(path, "127.0.0.1:1")
-    for number in OF_A_MOMENT:
+    for number in TRANSIENT_ERRORS:
         with monkeypatch.context() as patch:
-            patch.setattr(Path, "read_bytes", Failing(path.read_bytes, number))
+            patch.setattr(Path, "read_bytes", FailingCall(path.read_bytes, number))
             assert read_configuration(path)["discovery"] == "127.0.0.1:1"
 
 
-def test_a_reload_whose_configuration_can_not_be_read_yet_comes_a_moment_later(
+def test_reload_is_retried_until_the_configuration_is_readable(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen before: the front node went on following a discovery that had ended, until the next SIGHUP."""
+    """Without retries the front node kept following a discovery that had ended until the next SIGHUP."""
 
-    async def day(play: FrontSetup) -> None:
+    async def scenario(setup: FrontSetup) -> None:
         for half_written in (False, True):
             other = Agent()
             address = await other.open()
-            whole = write_configuration(play.node.path, address)
+            whole = write_configuration(setup.node.path, address)
             if half_written:
-                play.node.path.write_bytes(whole[: len(whole) // 2])
+                setup.node.path.write_bytes(whole[: len(whole) // 2])
             else:
-                monkeypatch.setattr(Path, "read_bytes", Failing(play.node.path.read_bytes, errno.EMFILE))
-            play.node.reload()
+                monkeypatch.setattr(Path, "read_bytes", FailingCall(setup.node.path.read_bytes, errno.EMFILE))
+            setup.node.reload()
             await asyncio.sleep(0.2)
-            play.node.path.write_bytes(whole)
+            setup.node.path.write_bytes(whole)
             began = monotonic()
             port = int(address.rpartition(":")[2])
-            await until(lambda port=port: play.node.watch.port == port, "the new discovery")  # type: ignore[misc]
+            await until(lambda port=port: setup.node.watch.port == port, "the new discovery")  # type: ignore[misc]
             assert monotonic() - began < 2.0
             await other.until_watched()
             other.close()
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: which tests it marks, and which files it refuses."""
+"""The KNOWN-RED.txt plugin: which tests it marks, and which files it refuses."""
 
 import shutil
 from pathlib import Path
@@ -36,7 +36,7 @@
         ("a.py::t | it loops | issue 3\n", [KnownFailure("a.py::t", "it loops", "issue 3")]),
     ],
 )
-def test_entries_are_read(text: str, entries: list[KnownFailure]) -> None:
+def test_entries_are_parsed(text: str, entries: list[KnownFailure]) -> None:
     assert parse(text) == entries
 
 
@@ -52,24 +52,24 @@
         ("a.py::t | c | i\na.py::t | d | j\n", "twice"),
     ],
 )
-def test_a_file_that_breaks_its_rules_is_refused(text: str, why: str) -> None:
+def test_malformed_file_is_refused(text: str, why: str) -> None:
     with pytest.raises(KnownRedError, match=why):
         parse(text)
 
 
 @pytest.mark.parametrize("known", [None, "", "# nothing\n"])
-def test_without_entries_a_failure_is_a_failure(project: pytest.Pytester, known: str | None) -> None:
+def test_without_entries_a_failure_fails_the_run(project: pytest.Pytester, known: str | None) -> None:
     run(project, known).assert_outcomes(failed=1, passed=1)
 
 
-def test_a_listed_test_is_passed_over_and_printed(project: pytest.Pytester) -> None:
+def test_listed_test_is_expected_to_fail_and_printed(project: pytest.Pytester) -> None:
     result = run(project, f"{FAILS} | it is broken | issue 3\n")
     result.assert_outcomes(xfailed=1, passed=1)
     assert result.ret == 0
     result.stdout.fnmatch_lines([f"known to fail: {FAILS}: it is broken (issue 3)"])
 
 
-def test_a_listed_test_that_passes_fails_the_run(project: pytest.Pytester) -> None:
+def test_listed_test_that_passes_fails_the_run(project: pytest.Pytester) -> None:
     result = run(project, f"{FAILS} | it is broken | issue 3\n{PASSES} | once broken | issue 4\n")
     result.assert_outcomes(xfailed=1, failed=1)
     assert result.ret == 1
@@ -86,19 +86,19 @@
         "".join(f"{FAILS}{n} | c | i\n" for n in range(4)),
     ],
 )
-def test_a_run_with_a_refused_file_ends_as_an_error(project: pytest.Pytester, known: str) -> None:
+def test_refused_file_is_a_usage_error(project: pytest.Pytester, known: str) -> None:
     result = run(project, known)
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["ERROR: KNOWN-RED.txt*"])
 
 
-def test_tests_in_several_processes_are_marked_alike(project: pytest.Pytester) -> None:
+def test_several_workers_mark_tests_alike(project: pytest.Pytester) -> None:
     result = run(project, f"{FAILS} | it is broken | issue 3\n", "-n", "2")
     result.assert_outcomes(xfailed=1, passed=1)
     result.stdout.fnmatch_lines([f"known to fail: {FAILS}: it is broken (issue 3)"])
 
 
-def test_several_processes_refuse_a_test_that_does_not_exist(project: pytest.Pytester) -> None:
+def test_several_workers_refuse_an_unknown_test(project: pytest.Pytester) -> None:
     result = run(project, "test_it.py::test_gone | c | issue 3\n", "-n", "2")
     assert result.ret == pytest.ExitCode.USAGE_ERROR
     result.stderr.fnmatch_lines(["ERROR: KNOWN-RED.txt: no such test: test_it.py::test_gone"])
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,27 +22,27 @@
 from heathford.standin.platform import EVENTS, GOOD, Agent, ScriptedEngine, settings
 
 ALL = b"".join(EVENTS)
-LIMIT = 20.0  # s for a test: far beyond what any takes
+TEST_TIMEOUT = 20.0  # s for a test: far beyond what any takes
 
 
-class Client:
+class NodeClient:
     """One connection; bytes as they come."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    def say(self, data: bytes) -> None:
+    def send(self, data: bytes) -> None:
         self.writer.write(data)
 
-    async def head(self) -> tuple[int, dict[str, str]]:
+    async def read_head(self) -> tuple[int, dict[str, str]]:
         lines = (await self.reader.readuntil(b"\r\n\r\n")).decode().split("\r\n")
         return int(lines[0].split()[1]), {
             k.lower(): v.strip() for k, _, v in (line.partition(":") for line in lines[1:] if line)
         }
 
-    async def answer(self) -> tuple[int, bytes, bool]:
+    async def read_answer(self) -> tuple[int, bytes, bool]:
         """Status, body, and whether it was whole."""
-        status, headers = await self.head()
+        status, headers = await self.read_head()
         if "content-length" in headers:
             return status, await self.reader.readexactly(int(headers["content-length"])), True
         body = b""
@@ -54,7 +54,7 @@
             return status, body, False
         return status, body, True
 
-    async def closed(self) -> bytes:
+    async def read_until_closed(self) -> bytes:
         """What comes until the other side closes."""
         try:
             return await self.reader.read()
@@ -86,8 +86,8 @@
     def __init__(self, folder: Path, *engines: ScriptedEngine) -> None:
         self.folder, self.engines, self.agent = folder, engines, Agent(*engines)
         self.process: asyncio.subprocess.Process | None = None
-        self.clients: list[Client] = []
-        self.said: list[dict[str, Any]] = []
+        self.clients: list[NodeClient] = []
+        self.log_lines: list[dict[str, Any]] = []
 
     async def start(
         self,
@@ -142,19 +142,19 @@
         """Until it has logged that."""
         assert self.process and self.process.stderr
         while line := await self.process.stderr.readline():
-            self.said.append(orjson.loads(line))
-            if self.said[-1]["event"] == event:
-                return self.said[-1]
-        raise AssertionError(f"ended without {event}: {self.said}")
+            self.log_lines.append(orjson.loads(line))
+            if self.log_lines[-1]["event"] == event:
+                return self.log_lines[-1]
+        raise AssertionError(f"ended without {event}: {self.log_lines}")
 
-    async def client(self) -> Client:
-        self.clients.append(Client(*await asyncio.open_connection("127.0.0.1", self.port)))
+    async def client(self) -> NodeClient:
+        self.clients.append(NodeClient(*await asyncio.open_connection("127.0.0.1", self.port)))
         return self.clients[-1]
 
-    async def ask(self, name: str, **more: Any) -> tuple[int, bytes, bool]:
+    async def request(self, name: str, **more: Any) -> tuple[int, bytes, bool]:
         client = await self.client()
-        client.say(request_bytes(name, **more))
-        return await client.answer()
+        client.send(request_bytes(name, **more))
+        return await client.read_answer()
 
     async def stop(self) -> None:
         for client in self.clients:
@@ -167,23 +167,26 @@
             await self.process.wait()
 
 
-def prefill_engine(*script: str | bytes, uid: str = "r") -> ScriptedEngine:
+def prefill(*script: str | bytes, uid: str = "r") -> ScriptedEngine:
     return ScriptedEngine(uid, "m0", True, *script)
 
 
-def decode_engine(*script: str | bytes, uid: str = "w") -> ScriptedEngine:
+def decode(*script: str | bytes, uid: str = "w") -> ScriptedEngine:
     return ScriptedEngine(uid, "m1", False, *script)
 
 
 def run_scenario(
-    folder: Path, engines: list[ScriptedEngine], day: Callable[[NodeProcess], Awaitable[None]], **limits: Any
+    folder: Path,
+    engines: list[ScriptedEngine],
+    scenario: Callable[[NodeProcess], Awaitable[None]],
+    **limits: Any,
 ) -> None:
     async def run() -> None:
         node = NodeProcess(folder, *engines)
         try:
-            async with asyncio.timeout(LIMIT):
+            async with asyncio.timeout(TEST_TIMEOUT):
                 await node.start(**limits)
-                await day(node)
+                await scenario(node)
                 assert node.process and node.process.returncode in (None, 0)
         finally:
             await node.stop()
@@ -192,25 +195,31 @@
 
 
 def test_a_completion_is_read_then_written_and_passed_on_as_it_came(tmp_path: Path) -> None:
-    a, b = prefill_engine(), decode_engine()
+    prefill_engine, decode_engine = prefill(), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         for n in range(3):  # on one connection
-            client.say(request_bytes(f"c{n}"))
-            assert await client.answer() == (200, ALL, True)
-        assert a.asked == b.asked == [("POST", f"c{n}") for n in range(3)]
-        while a.connected == len(a.asked):  # until a kept connection was used: some ms after an answer
-            client.say(request_bytes(f"d{len(a.asked)}"))
-            assert await client.answer() == (200, ALL, True)
-        assert a.bodies[0] == b.bodies[0] == request_bytes("x").partition(b"\r\n\r\n")[2]
-        assert 0 < int(b.heads[0]["x-budget-ms"]) <= 4000
-        client.say(b"GET /health/ready HTTP/1.1\r\n\r\n")
-        assert (await client.answer())[0] == 200
-        client.say(request_bytes("c3") + request_bytes("c4"))  # pipelined: in order, one at a time
-        assert [await client.answer() for _ in range(2)] == [(200, ALL, True)] * 2
-
-    run_scenario(tmp_path, [a, b], day)
+            client.send(request_bytes(f"c{n}"))
+            assert await client.read_answer() == (200, ALL, True)
+        assert prefill_engine.asked == decode_engine.asked == [("POST", f"c{n}") for n in range(3)]
+        while prefill_engine.connected == len(
+            prefill_engine.asked
+        ):  # until a kept connection was used: some ms after an answer
+            client.send(request_bytes(f"d{len(prefill_engine.asked)}"))
+            assert await client.read_answer() == (200, ALL, True)
+        assert (
+            prefill_engine.bodies[0]
+            == decode_engine.bodies[0]
+            == request_bytes("x").partition(b"\r\n\r\n")[2]
+        )
+        assert 0 < int(decode_engine.heads[0]["x-budget-ms"]) <= 4000
+        client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
+        assert (await client.read_answer())[0] == 200
+        client.send(request_bytes("c3") + request_bytes("c4"))  # pipelined: in order, one at a time
+        assert [await client.read_answer() for _ in range(2)] == [(200, ALL, True)] * 2
+
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 CUT = (200, EVENTS[0], False)
@@ -245,94 +254,94 @@
 def test_each_way_an_engine_can_end_a_dispatch(
     tmp_path: Path, workload: str, read: list[Any], write: list[Any], answer: Any, sent: int
 ) -> None:
-    a, b = prefill_engine(*read), decode_engine(*write)
+    prefill_engine, decode_engine = prefill(*read), decode(*write)
 
-    async def day(node: NodeProcess) -> None:
-        found = await node.ask("c0", workload=workload)
+    async def scenario(node: NodeProcess) -> None:
+        found = await node.request("c0", workload=workload)
         assert found == answer if isinstance(answer, tuple) else found[0] == answer
-        assert b.asked.count(("POST", "c0")) == sent
+        assert decode_engine.asked.count(("POST", "c0")) == sent
         # What came behind an answer is nobody's: the next gets its own.
-        assert await node.ask("c1", workload=workload) == (200, ALL, True)
+        assert await node.request("c1", workload=workload) == (200, ALL, True)
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_a_stream_spoilt_after_its_first_event_ends_without_the_last_chunk(tmp_path: Path) -> None:
-    a, b = prefill_engine(), decode_engine("spoil")
+    prefill_engine, decode_engine = prefill(), decode("spoil")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(request_bytes("c0"))
-        assert (await client.head())[0] == 200
+        client.send(request_bytes("c0"))
+        assert (await client.read_head())[0] == 200
         assert (await client.reader.readuntil(b"\n\n\r\n")).endswith(EVENTS[0] + b"\r\n")
-        b.held.set()
-        assert await client.closed() == b"" and b.asked == [("POST", "c0")]
+        decode_engine.held.set()
+        assert await client.read_until_closed() == b"" and decode_engine.asked == [("POST", "c0")]
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_an_engine_that_can_not_be_reached_is_passed_over(tmp_path: Path) -> None:
-    a, b, dead = prefill_engine(), decode_engine(), decode_engine(uid="dead")
+    prefill_engine, decode_engine, dead = prefill(), decode(), decode(uid="dead")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         dead.close()
         for n in range(6):
-            assert await node.ask(f"c{n}", workload="booking") == (200, ALL, True)
+            assert await node.request(f"c{n}", workload="booking") == (200, ALL, True)
         assert not dead.asked
 
-    run_scenario(tmp_path, [a, b, dead], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, dead], scenario)
 
 
 def test_one_that_gets_no_answer_is_answered_before_its_time_is_up(tmp_path: Path) -> None:
-    a, b = prefill_engine(), decode_engine("silent", "silent")
+    prefill_engine, decode_engine = prefill(), decode("silent", "silent")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         begun = asyncio.get_running_loop().time()
-        status, _, whole = await node.ask("c0", workload="booking", budget="700")
+        status, _, whole = await node.request("c0", workload="booking", budget="700")
         assert (status, whole) == (502, True) and asyncio.get_running_loop().time() - begun < 0.75
-        await a.until(1, "DELETE")  # the state that it read is let go
-        assert [name for method, name in b.asked if method == "POST"] == ["c0"]
+        await prefill_engine.until(1, "DELETE")  # the state that it read is let go
+        assert [name for method, name in decode_engine.asked if method == "POST"] == ["c0"]
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_a_client_that_leaves_takes_its_dispatch_and_state_along(tmp_path: Path) -> None:
-    a, b = prefill_engine("hold"), decode_engine()
+    prefill_engine, decode_engine = prefill("hold"), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(request_bytes("c0"))
-        await a.until(1)
+        client.send(request_bytes("c0"))
+        await prefill_engine.until(1)
         client.writer.transport.abort()
-        await b.until(0)
-        held = asyncio.create_task(a.until(1, "DELETE"))
-        other = asyncio.create_task(b.until(1, "DELETE"))
+        await decode_engine.until(0)
+        held = asyncio.create_task(prefill_engine.until(1, "DELETE"))
+        other = asyncio.create_task(decode_engine.until(1, "DELETE"))
         await asyncio.wait([held, other], return_when=asyncio.FIRST_COMPLETED)
-        assert not [m for m, _ in b.asked if m == "POST"]
+        assert not [m for m, _ in decode_engine.asked if m == "POST"]
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 @pytest.mark.parametrize("left", [0, 1])
 def test_a_layout_without_a_role_answers_at_once(tmp_path: Path, left: int) -> None:
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         loop = asyncio.get_running_loop()
         began = loop.time()
-        assert (await node.ask("c0"))[0] == 503
-        assert (await node.ask("c1", workload="booking"))[0] == 503
+        assert (await node.request("c0"))[0] == 503
+        assert (await node.request("c1", workload="booking"))[0] == 503
         assert loop.time() - began < 2.0  # of 8 that the two would wait
 
-    run_scenario(tmp_path, [prefill_engine() if left == 0 else decode_engine()], day)
+    run_scenario(tmp_path, [prefill() if left == 0 else decode()], scenario)
 
 
 def test_a_full_deployment_says_when_to_come_back(tmp_path: Path) -> None:
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(request_bytes("c0", budget="300"))
-        status, headers = await client.head()
+        client.send(request_bytes("c0", budget="300"))
+        status, headers = await client.read_head()
         assert status == 503 and 0.0 < float(headers["retry-after"]) <= 1.0
 
-    run_scenario(tmp_path, [prefill_engine()], day)  # no writer at all
+    run_scenario(tmp_path, [prefill()], scenario)  # no writer at all
 
 
 @pytest.mark.parametrize(
@@ -360,152 +369,154 @@
     ],
 )
 def test_what_makes_no_sense_is_refused_and_never_sent_on(tmp_path: Path, said: bytes, status: int) -> None:
-    a, b = prefill_engine(), decode_engine()
+    prefill_engine, decode_engine = prefill(), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(said)
-        assert (await client.answer())[0] == status
+        client.send(said)
+        assert (await client.read_answer())[0] == status
         # By none of the calls that a link makes. A front node of another test may look for its discovery,
         # which has ended, on a port that an engine here was given.
-        assert not [call for call in a.asked + b.asked if call[0] in ("POST", "DELETE")]
-        assert await node.ask("after") == (200, ALL, True)
+        assert not [
+            call for call in prefill_engine.asked + decode_engine.asked if call[0] in ("POST", "DELETE")
+        ]
+        assert await node.request("after") == (200, ALL, True)
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_the_id_of_an_open_completion_is_refused_until_it_is_over(tmp_path: Path) -> None:
-    a, b = prefill_engine("hold"), decode_engine()
+    prefill_engine, decode_engine = prefill("hold"), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         first = await node.client()
-        first.say(request_bytes("c0"))
-        await a.until(1)
-        assert (await node.ask("c0"))[0] == 409
-        a.held.set()
-        assert await first.answer() == (200, ALL, True)
-        assert await node.ask("c0") == (200, ALL, True)
+        first.send(request_bytes("c0"))
+        await prefill_engine.until(1)
+        assert (await node.request("c0"))[0] == 409
+        prefill_engine.held.set()
+        assert await first.read_answer() == (200, ALL, True)
+        assert await node.request("c0") == (200, ALL, True)
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_silent_connections_make_way_and_are_closed_in_time(tmp_path: Path) -> None:
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         begun = asyncio.get_running_loop().time()
         silent = [await node.client() for _ in range(100)]  # half of 64 descriptors are clients'
-        assert await node.ask("c0") == (200, ALL, True)
-        said = [await client.closed() for client in silent]
+        assert await node.request("c0") == (200, ALL, True)
+        said = [await client.read_until_closed() for client in silent]
         assert asyncio.get_running_loop().time() - begun < 3.0
         assert {line.split(b"\r\n")[0] for line in said} <= {b"", b"HTTP/1.1 408 Request Timeout"}
 
-    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day, sockets=64)
+    run_scenario(tmp_path, [prefill(), decode()], scenario, sockets=64)
 
 
 def test_the_end_serves_on_and_answers_all_that_was_taken(tmp_path: Path) -> None:
-    a, b = prefill_engine(), decode_engine("hold")
+    prefill_engine, decode_engine = prefill(), decode("hold")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         idle, busy, late = [await node.client() for _ in range(3)]
-        idle.say(request_bytes("c0"))
-        await b.until(1)
-        b.held.set()
-        assert await idle.answer() == (200, ALL, True)
-        b.held.clear()
-        b.script.append("hold")
-        busy.say(request_bytes("c1"))
-        await b.until(2)
+        idle.send(request_bytes("c0"))
+        await decode_engine.until(1)
+        decode_engine.held.set()
+        assert await idle.read_answer() == (200, ALL, True)
+        decode_engine.held.clear()
+        decode_engine.script.append("hold")
+        busy.send(request_bytes("c1"))
+        await decode_engine.until(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         await node.until("ending")
-        busy.say(request_bytes("c3"))  # behind the one in hand
-        late.say(b"GET /health/ready HTTP/1.1\r\n\r\n")
-        status, headers = await late.head()
+        busy.send(request_bytes("c3"))  # behind the one in hand
+        late.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
+        status, headers = await late.read_head()
         assert status == 503 and headers["connection"] == "close"
-        assert await node.ask("c2") == (200, ALL, True)
-        assert await idle.closed() == b""
-        b.held.set()
-        assert [await busy.answer() for _ in range(2)] == [(200, ALL, True)] * 2
+        assert await node.request("c2") == (200, ALL, True)
+        assert await idle.read_until_closed() == b""
+        decode_engine.held.set()
+        assert [await busy.read_answer() for _ in range(2)] == [(200, ALL, True)] * 2
         await node.until("ended")
         assert await node.process.wait() == 0
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_a_new_configuration_moves_the_watch_and_a_broken_one_does_not(tmp_path: Path) -> None:
-    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
+    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         assert node.process
         node.path.write_text("{")
         send_signal(node.process, signal.SIGHUP)
         await node.until("configuration not taken")
-        assert await node.ask("c0") == (200, ALL, True)
+        assert await node.request("c0") == (200, ALL, True)
         without = {key: value for key, value in node.config["settings"].items() if key != "nInstances"}
         node.path.write_bytes(orjson.dumps({**node.config, "discovery": "127.0.0.1:1", "settings": without}))
         send_signal(node.process, signal.SIGHUP)
         told = await node.until("configuration not taken")
         assert "nInstances is missing" in told["why"]
         await other.open()
-        moved = Agent(a, other)
+        moved = Agent(prefill_engine, other)
         moved.version = 7
         await moved.open()
         node.path.write_bytes(orjson.dumps({**node.config, "discovery": moved.address}))
         send_signal(node.process, signal.SIGHUP)
         await moved.until_watched()
-        assert await node.ask("c1") == (200, ALL, True)
-        assert ("POST", "c1") in other.asked and ("POST", "c1") not in b.asked
+        assert await node.request("c1") == (200, ALL, True)
+        assert ("POST", "c1") in other.asked and ("POST", "c1") not in decode_engine.asked
         moved.close()
         other.close()
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_a_drain_is_kept_and_discovery_that_is_down_changes_nothing(tmp_path: Path) -> None:
-    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
+    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
 
-    async def day(node: NodeProcess) -> None:
-        b.state = "DRAINING"
-        node.agent.say(b.row)
+    async def scenario(node: NodeProcess) -> None:
+        decode_engine.state = "DRAINING"
+        node.agent.say(decode_engine.row)
         # Until it is heard, either may be chosen; a change is heard in order, so ask until the other is.
         for n in range(100):
-            assert await node.ask(f"c{n}") == (200, ALL, True)
+            assert await node.request(f"c{n}") == (200, ALL, True)
             if len(other.asked) >= 5 and other.asked[-3:] == [("POST", f"c{k}") for k in range(n - 2, n + 1)]:
                 break
-        count = len(b.asked)
+        count = len(decode_engine.asked)
         node.agent.close()
         for n in range(5):
-            assert await node.ask(f"d{n}") == (200, ALL, True)
-        assert len(b.asked) == count
+            assert await node.request(f"d{n}") == (200, ALL, True)
+        assert len(decode_engine.asked) == count
 
-    run_scenario(tmp_path, [a, b, other], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario)
 
 
 def test_a_new_process_asks_for_the_list_before_it_is_ready(tmp_path: Path) -> None:
     """What the agent has counts as told from the first moment: what is known from before may be old. The
     first call gets no answer, as one made while discovery is down; the list comes with the second."""
-    a, b, other = prefill_engine(), decode_engine(), decode_engine(uid="w2")
+    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
 
     def drained_meanwhile(node: NodeProcess) -> None:
-        b.state, other.state, node.agent.unanswered = "DRAINING", "SERVING", 1
+        decode_engine.state, other.state, node.agent.unanswered = "DRAINING", "SERVING", 1
 
-    async def day(node: NodeProcess) -> None:
-        assert await node.ask("c0") == (200, ALL, True)
-        assert not b.asked and ("POST", "c0") in other.asked
+    async def scenario(node: NodeProcess) -> None:
+        assert await node.request("c0") == (200, ALL, True)
+        assert not decode_engine.asked and ("POST", "c0") in other.asked
 
     other.state = "DRAINING"
-    run_scenario(tmp_path, [a, b, other], day, before=drained_meanwhile)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario, before=drained_meanwhile)
 
 
 def test_with_a_silent_agent_a_process_starts_on_what_it_knew(tmp_path: Path) -> None:
-    async def day(node: NodeProcess) -> None:
-        assert node.said[-1]["event"] == "ready" and node.said[-2]["event"] == "state"
-        assert "no endpoint list from discovery yet" in {line["event"] for line in node.said}
-        assert await node.ask("c0") == (200, ALL, True)
+    async def scenario(node: NodeProcess) -> None:
+        assert node.log_lines[-1]["event"] == "ready" and node.log_lines[-2]["event"] == "state"
+        assert "no endpoint list from discovery yet" in {line["event"] for line in node.log_lines}
+        assert await node.request("c0") == (200, ALL, True)
 
     run_scenario(
         tmp_path,
-        [prefill_engine(), decode_engine()],
-        day,
+        [prefill(), decode()],
+        scenario,
         before=lambda node: setattr(node.agent, "silent", True),
     )
 
@@ -513,7 +524,7 @@
 @asynccontextmanager
 async def watched() -> AsyncIterator[tuple[ScriptedEngine, Agent, list[Health]]]:
     """One engine, discovery, and the states that a Watch has heard there, in order; it watches."""
-    engine = decode_engine()
+    engine = decode()
     await engine.open()
     agent = Agent(engine)
     await agent.open()
@@ -527,7 +538,7 @@
     )
     watch.start()
     try:
-        async with asyncio.timeout(LIMIT):
+        async with asyncio.timeout(TEST_TIMEOUT):
             await agent.until_watched()
             yield engine, agent, heard
     finally:
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -5,7 +5,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import ALL, Client, NodeProcess, request_bytes, run_scenario, prefill_engine, decode_engine
+from test_platform import ALL, NodeClient, NodeProcess, request_bytes, run_scenario, prefill, decode
 
 from heathford.child_signals import send_signal
 from heathford.interface import STALL_ALLOWANCE
@@ -18,7 +18,7 @@
     return sum(method == "POST" for engine in engines for method, _ in engine.asked)  # type: ignore[attr-defined]
 
 
-def close(client: Client, how: str) -> None:
+def close(client: NodeClient, how: str) -> None:
     if how == "reset":
         client.writer.transport.abort()
     else:
@@ -27,24 +27,26 @@
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
 def test_a_queued_request_whose_client_has_gone_is_never_sent(tmp_path: Path, how: str) -> None:
-    a, b = prefill_engine(), decode_engine()
+    prefill_engine, decode_engine = prefill(), decode()
 
-    async def day(node: NodeProcess) -> None:
-        node.agent.say({**a.row, "state": "DRAINING"}, {**b.row, "state": "DRAINING"})
-        other = decode_engine(uid="w2")
+    async def scenario(node: NodeProcess) -> None:
+        node.agent.say(
+            {**prefill_engine.row, "state": "DRAINING"}, {**decode_engine.row, "state": "DRAINING"}
+        )
+        other = decode(uid="w2")
         await asyncio.sleep(0.1)
         client = await node.client()
-        client.say(request_bytes("c0"))
+        client.send(request_bytes("c0"))
         await asyncio.sleep(0.1)
         close(client, how)
         await asyncio.sleep(GONE)
         await other.open()
-        node.agent.say(a.row, b.row, other.row)
-        assert await node.ask("c1") == (200, ALL, True)
+        node.agent.say(prefill_engine.row, decode_engine.row, other.row)
+        assert await node.request("c1") == (200, ALL, True)
         other.close()
-        assert posts(a) == 1 and posts(b, other) == 1
+        assert posts(prefill_engine) == 1 and posts(decode_engine, other) == 1
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 @pytest.mark.parametrize("how", ["closed", "reset"])
@@ -64,107 +66,107 @@
 
     Seen before: with more than 64 KiB behind an open request the connection was not read any more, so its end
     was not seen, and the write went out."""
-    a, b = prefill_engine("hold"), decode_engine()
+    prefill_engine, decode_engine = prefill("hold"), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(request_bytes("c0"))
-        await a.until(1)
-        client.say(behind)
+        client.send(request_bytes("c0"))
+        await prefill_engine.until(1)
+        client.send(behind)
         if behind:
             await client.writer.drain()
         close(client, how)
         await asyncio.sleep(GONE)
-        a.held.set()
+        prefill_engine.held.set()
         await asyncio.sleep(0.3)
-        assert posts(b) == 0 and posts(a) == 1
-        assert await node.ask("c1") == (200, ALL, True)
+        assert posts(decode_engine) == 0 and posts(prefill_engine) == 1
+        assert await node.request("c1") == (200, ALL, True)
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 @pytest.mark.parametrize("step", ["reset", "error", "full", "hold"])
 def test_no_further_attempt_begins_after_the_client_has_gone(tmp_path: Path, step: str) -> None:
     """Its first attempt ends, one way or another, after the client has gone."""
-    a, b, other = prefill_engine(), decode_engine("hold"), decode_engine(uid="w2")
+    prefill_engine, decode_engine, other = prefill(), decode("hold"), decode(uid="w2")
     other.state = "DRAINING"
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(request_bytes("c0"))
-        await b.until(1)
+        client.send(request_bytes("c0"))
+        await decode_engine.until(1)
         client.writer.close()
         await asyncio.sleep(GONE)
-        b.script = [step]
-        b.held.set()
+        decode_engine.script = [step]
+        decode_engine.held.set()
         node.agent.say({**other.row, "state": "SERVING"})
         await asyncio.sleep(0.3)
-        assert posts(a) == 1 and posts(b) == 1 and posts(other) == 0
+        assert posts(prefill_engine) == 1 and posts(decode_engine) == 1 and posts(other) == 0
 
-    run_scenario(tmp_path, [a, b, other], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario)
 
 
 def test_what_a_client_sent_ahead_is_answered_in_order(tmp_path: Path) -> None:
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.say(b"".join(request_bytes(f"c{n}") for n in range(6)))
+        client.send(b"".join(request_bytes(f"c{n}") for n in range(6)))
         for _ in range(6):
-            assert await client.answer() == (200, ALL, True)
+            assert await client.read_answer() == (200, ALL, True)
 
-    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day)
+    run_scenario(tmp_path, [prefill(), decode()], scenario)
 
 
 def test_a_flood_behind_an_open_request_costs_other_clients_nothing(tmp_path: Path) -> None:
-    a, b = prefill_engine("hold"), decode_engine()
+    prefill_engine, decode_engine = prefill("hold"), decode()
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         flood = await node.client()
-        flood.say(request_bytes("c0") + 2_000 * request_bytes("d"))
-        await a.until(1)
-        assert await node.ask("c1") == (200, ALL, True)
-        a.held.set()
-        assert await flood.answer() == (200, ALL, True)
+        flood.send(request_bytes("c0") + 2_000 * request_bytes("d"))
+        await prefill_engine.until(1)
+        assert await node.request("c1") == (200, ALL, True)
+        prefill_engine.held.set()
+        assert await flood.read_answer() == (200, ALL, True)
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_a_request_that_crosses_our_close_is_not_sent_on_and_resets_nothing(tmp_path: Path) -> None:
     """After SIGTERM idle connections are shut. A request that comes then is read and dropped: its client
     reads an end, not a reset, and sends it anew elsewhere."""
-    a, b = prefill_engine(), decode_engine("hold")
+    prefill_engine, decode_engine = prefill(), decode("hold")
 
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         idle, busy = await node.client(), await node.client()
-        idle.say(request_bytes("c0"))
-        b.script = ["good", "hold"]
-        assert await idle.answer() == (200, ALL, True)
-        busy.say(request_bytes("c1"))
-        await b.until(2)
+        idle.send(request_bytes("c0"))
+        decode_engine.script = ["good", "hold"]
+        assert await idle.read_answer() == (200, ALL, True)
+        busy.send(request_bytes("c1"))
+        await decode_engine.until(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         assert await idle.reader.read() == b""
-        idle.say(request_bytes("c2"))
+        idle.send(request_bytes("c2"))
         await asyncio.sleep(0.2)
-        b.held.set()
-        assert await busy.answer() == (200, ALL, True)
-        assert ("POST", "c2") not in a.asked and idle.reader.exception() is None
+        decode_engine.held.set()
+        assert await busy.read_answer() == (200, ALL, True)
+        assert ("POST", "c2") not in prefill_engine.asked and idle.reader.exception() is None
         idle.writer.close()
         assert await node.process.wait() == 0
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_an_error_is_read_although_its_client_goes_on_sending(tmp_path: Path) -> None:
-    async def day(node: NodeProcess) -> None:
+    async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         head = b"POST /v1/chat/completions HTTP/1.1\r\nHost: o\r\nContent-Length: 60000000\r\n\r\n"
-        client.say(head + 1_000_000 * b"x")
-        status, _, whole = await client.answer()
+        client.send(head + 1_000_000 * b"x")
+        status, _, whole = await client.read_answer()
         assert (status, whole) == (413, True)
-        client.say(1_000 * b"x")
+        client.send(1_000 * b"x")
         assert await client.reader.read() == b""
 
-    run_scenario(tmp_path, [prefill_engine(), decode_engine()], day)
+    run_scenario(tmp_path, [prefill(), decode()], scenario)
 
 
 @pytest.mark.parametrize(
@@ -180,11 +182,11 @@
     tmp_path: Path, signals: tuple[signal.Signals, ...], config: str
 ) -> None:
     """What was taken is answered, and the process ends, whatever the file says by then."""
-    a, b = prefill_engine(), decode_engine("hold")
+    prefill_engine, decode_engine = prefill(), decode("hold")
 
-    async def day(node: NodeProcess) -> None:
-        waiting = asyncio.create_task(node.ask("c0"))
-        await b.until(1)
+    async def scenario(node: NodeProcess) -> None:
+        waiting = asyncio.create_task(node.request("c0"))
+        await decode_engine.until(1)
         text = node.path.read_bytes()
         moved = text.replace(node.agent.address.encode(), b"127.0.0.1:1")
         node.path.write_bytes(moved if config == "moved" else text[: len(text) // 2])
@@ -192,11 +194,11 @@
         for each in signals:
             send_signal(node.process, each)
             await asyncio.sleep(0.05)
-        b.held.set()
+        decode_engine.held.set()
         assert await waiting == (200, ALL, True)
         assert await node.process.wait() == 0
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 @pytest.mark.parametrize("budget", [300, 1_000, 3_500])
@@ -205,11 +207,11 @@
     no engine answers has its final answer, and the process has ended, though its client keeps the connection.
 
     Seen: it waited a second more for that client to close."""
-    a, b = prefill_engine(), decode_engine("silent", "silent", "silent", "silent")
+    prefill_engine, decode_engine = prefill(), decode("silent", "silent", "silent", "silent")
 
-    async def day(node: NodeProcess) -> None:
-        waiting = asyncio.create_task(node.ask("c0", workload="booking", budget=str(budget)))
-        await b.until(1)
+    async def scenario(node: NodeProcess) -> None:
+        waiting = asyncio.create_task(node.request("c0", workload="booking", budget=str(budget)))
+        await decode_engine.until(1)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         async with asyncio.timeout(max(budget / 1000, 0.7) + 0.7):
@@ -217,7 +219,7 @@
             assert (status, whole) == (502, True)
             assert await node.process.wait() == 0
 
-    run_scenario(tmp_path, [a, b], day)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
 def test_half_a_request_is_told_within_three_seconds_also_where_the_loop_is_held_up() -> None:
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -4,7 +4,7 @@
 from pathlib import Path
 
 import pytest
-from test_platform import ALL, NodeProcess, run_scenario, prefill_engine, decode_engine
+from test_platform import ALL, NodeProcess, run_scenario, prefill, decode
 
 from heathford.platform.process import RESERVED_DESCRIPTORS, Descriptors
 
@@ -33,12 +33,12 @@
 
 def test_discovery_is_followed_again_though_idle_clients_hold_all_they_can(tmp_path: Path) -> None:
     """Discovery goes down, idle clients fill the descriptors, discovery returns with news."""
-    a, b, other = prefill_engine(), decode_engine("hold"), decode_engine(uid="w2")
+    prefill_engine, decode_engine, other = prefill(), decode("hold"), decode(uid="w2")
     other.state = "DRAINING"
 
-    async def day(node: NodeProcess) -> None:
-        waiting = asyncio.create_task(node.ask("c0"))
-        await b.until(1)
+    async def scenario(node: NodeProcess) -> None:
+        waiting = asyncio.create_task(node.request("c0"))
+        await decode_engine.until(1)
         port = int(node.agent.address.rpartition(":")[2])
         node.agent.close()
         node.agent.watching.clear()
@@ -48,27 +48,27 @@
         await asyncio.sleep(1.0)
         assert processor_time(node) - spent < TURNING_AWAY
         assert descriptors(node) <= SOCKETS
-        b.state, other.state = "DRAINING", "SERVING"
+        decode_engine.state, other.state = "DRAINING", "SERVING"
         node.agent.version += 1
         await node.agent.open(port)
         await node.agent.until_watched()
-        b.held.set()
+        decode_engine.held.set()
         assert await waiting == (200, ALL, True)
-        assert await node.ask("c1") == (200, ALL, True)  # on a new connection, though all are taken
-        assert ("POST", "c1") in other.asked and ("POST", "c1") not in b.asked
+        assert await node.request("c1") == (200, ALL, True)  # on a new connection, though all are taken
+        assert ("POST", "c1") in other.asked and ("POST", "c1") not in decode_engine.asked
 
-    run_scenario(tmp_path, [a, b, other], day, sockets=SOCKETS, limited=True)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario, sockets=SOCKETS, limited=True)
 
 
 def test_an_open_request_is_not_turned_out_for_new_clients(tmp_path: Path) -> None:
-    a, b = prefill_engine(), decode_engine("hold", "hold", "hold")
+    prefill_engine, decode_engine = prefill(), decode("hold", "hold", "hold")
 
-    async def day(node: NodeProcess) -> None:
-        waiting = [asyncio.create_task(node.ask(f"c{n}")) for n in range(3)]
-        await b.until(3)
+    async def scenario(node: NodeProcess) -> None:
+        waiting = [asyncio.create_task(node.request(f"c{n}")) for n in range(3)]
+        await decode_engine.until(3)
         for _ in range(3):
             await asyncio.gather(*(node.client() for _ in range(IDLE_CLIENTS // 3)))
-        b.held.set()
+        decode_engine.held.set()
         assert await asyncio.gather(*waiting) == 3 * [(200, ALL, True)]
 
-    run_scenario(tmp_path, [a, b], day, sockets=SOCKETS, limited=True)
+    run_scenario(tmp_path, [prefill_engine, decode_engine], scenario, sockets=SOCKETS, limited=True)
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -1,7 +1,8 @@
-"""A client that has gone gets no attempt, though its close still lies unread in the kernel.
+"""No attempt starts for a client that has left, even while its close is still unread in the kernel.
 
-The close stands behind what the client sent ahead, so many turns of the loop come before it is read, and the
-next attempt becomes due. Before each attempt the socket itself is asked (ClientConnection.client_connected).
+The close is queued behind data that the client sent ahead, so that it takes many turns of the loop to reach,
+and the next attempt becomes due before that. Each attempt therefore checks the socket's state first
+(ClientConnection.client_connected).
 """
 
 import asyncio
@@ -13,157 +14,165 @@
 import pytest
 from raw_peers import (
     FrontSetup,
-    RawConnection,
     RawClient,
+    RawConnection,
     decode,
     front_node,
     prefill,
     readable,
     request,
+    run_loop_turns,
     run_scenario,
     small_reads,
-    run_loop_turns,
     until,
 )
 
 from heathford.platform.exchange import EngineConnection
 from heathford.standin.platform import READ, WORDS
 
-NOISE = 20_000 * b"x"  # 40 turns of the loop
-HOLD_UP = 0.05  # s for which the loop is held up
-GONE = ["closed", "reset", "half closed"]
+NOISE = 20_000 * b"x"  # takes 40 turns of the loop to read
+LOOP_STALL = 0.05  # s
+WAYS_TO_LEAVE = ["closed", "reset", "half closed"]
 
 
-def go(client: RawClient, how: str) -> None:
-    """Send ahead and leave, while the loop is held up."""
+def send_ahead_and_leave(client: RawClient, way: str) -> None:
+    """Send data ahead and leave, all while the loop is stalled."""
     client.send(NOISE)
-    client.disconnect(how)
-    time.sleep(HOLD_UP)
-
-
-@pytest.mark.parametrize("how", GONE)
-@pytest.mark.parametrize("kept", [True, False], ids=["kept connection", "new connection"])
-def test_first_attempt(tmp_path: Path, how: str, kept: bool) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        if kept:
-            await play.answer(play.client(), "c0")
-            await play.wait_until_reusable()
-        client, before = play.client(), a.posts
+    client.disconnect(way)
+    time.sleep(LOOP_STALL)
+
+
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("reused", [True, False], ids=["kept connection", "new connection"])
+def test_first_attempt_is_not_sent(tmp_path: Path, way: str, reused: bool) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        if reused:
+            await setup.answer(setup.client(), "c0")
+            await setup.wait_until_reusable()
+        client, requests_before = setup.client(), prefill_engine.posts
         with small_reads():
             client.send(request("c1"))
-            go(client, how)
-            await until(lambda: not play.node.core.live and play.node.core.tally.left == 1, "left")
+            send_ahead_and_leave(client, way)
+            await until(lambda: not setup.node.core.live and setup.node.core.tally.left == 1, "left")
             await run_loop_turns()
-            assert a.posts == before
+            assert prefill_engine.posts == requests_before
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("how", GONE)
-@pytest.mark.parametrize("kept", [True, False], ids=["kept connection", "new connection"])
-def test_hand_over_from_prefill_to_decode(tmp_path: Path, how: str, kept: bool) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        if kept:
-            await play.answer(play.client(), "c0")
-            await play.wait_until_reusable()
-        client, before = play.client(), b.posts
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("reused", [True, False], ids=["kept connection", "new connection"])
+def test_decode_attempt_is_not_sent(tmp_path: Path, way: str, reused: bool) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        if reused:
+            await setup.answer(setup.client(), "c0")
+            await setup.wait_until_reusable()
+        client, requests_before = setup.client(), decode_engine.posts
         client.send(request("c1"))
-        held = await a.wait_for_request(a.posts + 1)
+        connection = await prefill_engine.wait_for_request(prefill_engine.posts + 1)
         with small_reads():
-            go(client, how)
-            held.sock.sendall(READ)
-            await until(lambda: not play.node.core.live, "left")
+            send_ahead_and_leave(client, way)
+            connection.sock.sendall(READ)
+            await until(lambda: not setup.node.core.live, "left")
             await run_loop_turns()
-            assert b.posts == before
-            await until(lambda: a.deletes == 1, "the release of what was read")
+            assert decode_engine.posts == requests_before
+            await until(lambda: prefill_engine.deletes == 1, "the release of what was read")
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("how", GONE)
-@pytest.mark.parametrize("end", ["error", "full", "reset"])
-def test_retry(tmp_path: Path, how: str, end: str) -> None:
-    async def day() -> None:
-        a, b, other = prefill(), decode(), decode("w2")
-        other.state = "DRAINING"
-        async with front_node(tmp_path, a, b, other) as play:
-            client = play.client()
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+@pytest.mark.parametrize("outcome", ["error", "full", "reset"])
+def test_retry_is_not_sent(tmp_path: Path, way: str, outcome: str) -> None:
+    async def scenario() -> None:
+        prefill_engine, decode_engine, other_engine = prefill(), decode(), decode("w2")
+        other_engine.state = "DRAINING"
+        async with front_node(tmp_path, prefill_engine, decode_engine, other_engine) as setup:
+            client = setup.client()
             client.send(request("c1"))
-            (await a.wait_for_request()).sock.sendall(READ)
-            held = await b.wait_for_request()
-            other.state = "SERVING"
-            play.publish_entries(other)
-            await until(lambda: play.node.instances.version == 2, "the change")
+            (await prefill_engine.wait_for_request()).sock.sendall(READ)
+            connection = await decode_engine.wait_for_request()
+            other_engine.state = "SERVING"
+            setup.publish_entries(other_engine)
+            await until(lambda: setup.node.instances.version == 2, "the change")
             with small_reads():
-                go(client, how)
-                if end == "reset":
-                    held.sock.close()
+                send_ahead_and_leave(client, way)
+                if outcome == "reset":
+                    connection.sock.close()
                 else:
-                    held.sock.sendall(WORDS[end])
-                await until(lambda: not play.node.core.live, "left")
+                    connection.sock.sendall(WORDS[outcome])
+                await until(lambda: not setup.node.core.live, "left")
                 await run_loop_turns()
-                assert (a.posts, b.posts, other.posts) == (1, 1, 0)
+                assert (prefill_engine.posts, decode_engine.posts, other_engine.posts) == (1, 1, 0)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-@pytest.mark.parametrize("how", GONE)
-def test_attempt_that_waits_for_a_release(tmp_path: Path, how: str) -> None:
-    """A prefill that may have run is released before the next attempt, which waits for that."""
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_attempt_waiting_for_a_release_is_not_sent(tmp_path: Path, way: str) -> None:
+    """A prefill attempt that may have run is released first, and the next attempt waits for that."""
 
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        client = setup.client()
         client.send(request("c1"))
-        (await a.wait_for_request()).sock.sendall(WORDS["error"])
-        release = await a.wait_for_request(1, b"DELETE")
-        assert a.posts == 1 and play.node.link.releases
+        (await prefill_engine.wait_for_request()).sock.sendall(WORDS["error"])
+        release = await prefill_engine.wait_for_request(1, b"DELETE")
+        assert prefill_engine.posts == 1 and setup.node.link.releases
         with small_reads():
-            go(client, how)
+            send_ahead_and_leave(client, way)
             release.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-            await until(lambda: not play.node.core.live, "left")
+            await until(lambda: not setup.node.core.live, "left")
             await run_loop_turns()
-            assert (a.posts, b.posts) == (1, 0)
+            assert (prefill_engine.posts, decode_engine.posts) == (1, 0)
+
+    run_scenario(tmp_path, scenario)
 
-    run_scenario(tmp_path, day)
 
+@pytest.mark.parametrize("way", WAYS_TO_LEAVE)
+def test_partly_sent_attempt_is_not_completed(
+    tmp_path: Path, way: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
+    """A long request to an engine that does not read is sent in part when its client leaves.
 
-@pytest.mark.parametrize("how", GONE)
-def test_attempt_of_which_part_has_left(tmp_path: Path, how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """An engine that takes no bytes: a long request has left in part when its client goes. The rest must not
-    follow, or the engine would begin on it. Seen: it waited on, and was whole once the engine read again."""
-    made = EngineConnection.connection_made
+    The rest must not follow, or the engine would start on the request. The attempt used to wait, and was
+    complete once the engine read again.
+    """
+    original_connection_made = EngineConnection.connection_made
     connections: list[EngineConnection] = []
 
     def small_buffer(self: EngineConnection, transport: asyncio.BaseTransport) -> None:
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 2_048)
-        made(self, transport)
+        original_connection_made(self, transport)
         connections.append(self)
 
     monkeypatch.setattr(EngineConnection, "connection_made", small_buffer)
 
-    async def day() -> None:
-        a, b = prefill(), decode()
-        a.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
-        async with front_node(tmp_path, a, b, cancel=False) as play:
-            client = play.client()
+    async def scenario() -> None:
+        prefill_engine, decode_engine = prefill(), decode()
+        prefill_engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 2_048)
+        async with front_node(tmp_path, prefill_engine, decode_engine, cancel=False) as setup:
+            client = setup.client()
             body = b'{"stream":true,"messages":["' + 250_000 * b"x" + b'"]}'
             head = request("c1").partition(b"\r\n\r\n")[0].rpartition(b"Content-Length")[0]
             client.send(head + b"Content-Length: %d\r\n\r\n" % len(body) + body)
             await until(lambda: any(c.has_unwritten for c in connections), "a request that left in part")
-            client.disconnect(how)
+            client.disconnect(way)
             await asyncio.sleep(0.1)
-            held = await a.wait_for_request()  # and from now on the engine reads
+            connection = await prefill_engine.wait_for_request()  # the engine reads from now on
             with suppress(OSError):
-                await until(lambda: closed(held) or len(held.received) > len(body), "the rest, or an end")
-            assert len(held.received) < len(body) and not play.node.core.live
+                await until(
+                    lambda: has_closed(connection) or len(connection.received) > len(body),
+                    "the rest, or an end",
+                )
+            assert len(connection.received) < len(body) and not setup.node.core.live
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def closed(held: RawConnection) -> bool:
-    """Take in what there is; whether the end has come."""
-    held.read_available()
-    return readable(held.sock) and not held.sock.recv(1, socket.MSG_PEEK)
+def has_closed(connection: RawConnection) -> bool:
+    """Read what is available; return whether the other side has closed."""
+    connection.read_available()
+    return readable(connection.sock) and not connection.sock.recv(1, socket.MSG_PEEK)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -1,6 +1,7 @@
-"""Calls on sockets, and on what watches them, that the system refuses for a moment for want of memory.
+"""System calls on sockets and epoll that fail for a moment for want of memory.
 
-Nothing has happened then, to no connection: each is made again, and no request and no engine pays for it.
+Such a failure leaves the connection unchanged: the call is retried, no request is lost, and nothing counts
+against an engine.
 """
 
 import asyncio
@@ -25,97 +26,97 @@
 EPOLL = select.epoll
 
 
-def every_second(numbers: tuple[int, ...]) -> Iterator[int]:
-    """For each call in turn: the error that it meets, or 0."""
-    for number in itertools.cycle(numbers):
+def errors_every_other_call(errnos: tuple[int, ...]) -> Iterator[int]:
+    """Yield for each call in turn the error that it meets, or 0 for none."""
+    for number in itertools.cycle(errnos):
         yield number
         yield 0
 
 
-def refuse(monkeypatch: pytest.MonkeyPatch, name: str, ports: set[int], listening: int) -> None:
-    """Every second call of that name fails, on a front node's own connections."""
-    call, errors = getattr(socket.socket, name), every_second(NO_MEMORY)
+def refuse_every_other_call(
+    monkeypatch: pytest.MonkeyPatch, name: str, ports: set[int], listening: int
+) -> None:
+    """Have every other call of that name fail, on the front node's own connections."""
+    call, errors = getattr(socket.socket, name), errors_every_other_call(NO_MEMORY)
 
-    def refused(self: socket.socket, *given: Any) -> Any:
+    def refused_call(self: socket.socket, *args: Any) -> Any:
         try:
             own = self.getsockname()[1] == listening or self.getpeername()[1] in ports
         except OSError:
             own = False
         if own and (number := next(errors)):
             raise OSError(number, "for a moment")
-        return call(self, *given)
+        return call(self, *args)
 
-    monkeypatch.setattr(socket.socket, name, refused)
+    monkeypatch.setattr(socket.socket, name, refused_call)
 
 
-async def serve_some(play: FrontSetup) -> None:
-    """Requests one after another on a connection, each streamed whole, and no engine blamed."""
-    a, b = play.engines
-    client = play.client()
+async def serve_requests(setup: FrontSetup) -> None:
+    """Serve requests in turn on one connection; all streams are complete, and no engine is blamed."""
+    prefill_engine, decode_engine = setup.engines
+    client = setup.client()
     for number in range(REQUESTS):
         client.send(request(f"c{number}"))
-        (await a.wait_for_request(number + 1)).sock.sendall(READ)
-        (await b.wait_for_request(number + 1)).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request(number + 1)).sock.sendall(READ)
+        (await decode_engine.wait_for_request(number + 1)).sock.sendall(GOOD)
         await until(lambda number=number: client.whole_streams == number + 1, f"stream {number}")  # type: ignore[misc]
     assert client.answers == REQUESTS * [200]
-    assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
-    assert (a.posts, b.posts) == (REQUESTS, REQUESTS)
+    assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
+    assert (prefill_engine.posts, decode_engine.posts) == (REQUESTS, REQUESTS)
 
 
-def test_requests_are_served_where_sends_and_reads_are_refused_for_a_moment(
+def test_requests_are_served_while_sends_and_reads_fail(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Seen before: the event loop's transports take every such error for the end of the connection."""
+    """asyncio's transports close the connection after any such error."""
 
-    async def day(play: FrontSetup) -> None:
-        ports = {engine.listener.getsockname()[1] for engine in play.engines}
+    async def scenario(setup: FrontSetup) -> None:
+        ports = {engine.listener.getsockname()[1] for engine in setup.engines}
         for name in ("send", "recv"):
-            refuse(monkeypatch, name, ports, play.node.listen[1])
-        await serve_some(play)
+            refuse_every_other_call(monkeypatch, name, ports, setup.node.listen[1])
+        await serve_requests(setup)
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
 class FailingEpoll:
-    """As select.epoll, but that every second change of what is watched fails."""
+    """Works as select.epoll, but every other change of the watched descriptors fails."""
 
     def __init__(self) -> None:
         self.real = EPOLL()
         self.poll, self.close, self.fileno = self.real.poll, self.real.close, self.real.fileno
-        self.errors = every_second((errno.ENOMEM, errno.ENOSPC))
+        self.errors = errors_every_other_call((errno.ENOMEM, errno.ENOSPC))
 
-    def refuse(self) -> None:
+    def fail_every_other_call(self) -> None:
         if number := next(self.errors):
             raise OSError(number, "for a moment")
 
     def register(self, descriptor: int, events: int) -> None:
-        self.refuse()
+        self.fail_every_other_call()
         self.real.register(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        self.refuse()
+        self.fail_every_other_call()
         self.real.modify(descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
-        self.refuse()
+        self.fail_every_other_call()
         self.real.unregister(descriptor)
 
 
-def test_requests_are_served_where_connections_can_not_be_watched_for_a_moment(
+def test_requests_are_served_while_epoll_changes_fail(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(select, "epoll", FailingEpoll)
     monkeypatch.setattr(selectors.EpollSelector, "_selector_cls", FailingEpoll)  # of asyncio's own loop
-    run_scenario(tmp_path, serve_some)
+    run_scenario(tmp_path, serve_requests)
 
 
-def test_a_connect_that_the_system_puts_off_is_made_again(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """EAGAIN of connect(2): nothing is on its way, where the event loop waits for it, and finds it there."""
+def test_connect_that_fails_with_eagain_is_retried(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """After EAGAIN of connect(2) nothing is in progress, but asyncio would take the socket for connected."""
 
-    async def day(play: FrontSetup) -> None:
-        ports = {engine.listener.getsockname()[1] for engine in play.engines}
+    async def scenario(setup: FrontSetup) -> None:
+        ports = {engine.listener.getsockname()[1] for engine in setup.engines}
         connect, left = socket.socket.connect, 3
 
         def put_off(self: socket.socket, address: Any) -> None:
@@ -126,18 +127,18 @@
             connect(self, address)
 
         monkeypatch.setattr(socket.socket, "connect", put_off)
-        client = play.client()
+        client = setup.client()
         client.send(request("c0", request_class="booking"))
-        (await play.engines[0].wait_for_request()).sock.sendall(READ)
-        (await play.engines[1].wait_for_request()).sock.sendall(GOOD)
+        (await setup.engines[0].wait_for_request()).sock.sendall(READ)
+        (await setup.engines[1].wait_for_request()).sock.sendall(GOOD)
         await until(lambda: client.whole_streams == 1, "the stream's end")
         assert not left
-        assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
+        assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_descriptor_is_watched_and_forgotten_once_the_system_lets_it(
+def test_refused_epoll_changes_are_retried(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(select, "epoll", FailingEpoll)
@@ -155,43 +156,43 @@
         sock.close()
 
 
-def test_a_descriptor_that_was_closed_unseen_is_watched_anew() -> None:
+def test_reused_descriptor_is_registered_again() -> None:
     epoll = RetryingEpoll()
     near, far = socket.socketpair()
     epoll.register(near.fileno(), select.EPOLLIN)
     descriptor = near.detach()
     os.close(descriptor)
-    epoll.unregister(descriptor + 1)  # never known
-    again = os.dup2(far.fileno(), descriptor)
-    epoll.register(again, select.EPOLLOUT)
-    assert epoll.poll(1.0)[0][0] == again
-    os.close(again)
+    epoll.unregister(descriptor + 1)  # never registered
+    reused = os.dup2(far.fileno(), descriptor)
+    epoll.register(reused, select.EPOLLOUT)
+    assert epoll.poll(1.0)[0][0] == reused
+    os.close(reused)
     far.close()
     epoll.close()
 
 
-def test_an_event_loop_is_had_once_there_is_a_descriptor(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_event_loop_creation_is_retried(monkeypatch: pytest.MonkeyPatch) -> None:
     left = 3
 
-    def refused() -> Any:
+    def refused_call() -> Any:
         nonlocal left
         left -= 1
         if left > 0:
             raise OSError(errno.EMFILE, "for a moment")
         return EPOLL()
 
-    monkeypatch.setattr(select, "epoll", refused)
+    monkeypatch.setattr(select, "epoll", refused_call)
     new_event_loop().close()
     assert not left
 
 
-def test_the_error_of_a_close_is_kept_from_the_event_loop(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_errors_of_close_are_ignored(monkeypatch: pytest.MonkeyPatch) -> None:
     near, far = socket.socketpair()
-    taken = RetryingSocket.take_over(near)
+    wrapped = RetryingSocket.take_over(near)
     with monkeypatch.context() as patch:
         patch.setattr(socket.socket, "close", lambda self: fail(errno.EIO))
-        taken.close()
-    taken.close()
+        wrapped.close()
+    wrapped.close()
     far.close()
 
 
@@ -199,14 +200,16 @@
     raise OSError(number, "for a moment")
 
 
-REFUSED_FOR = 0.3  # s
-TURNS = 150  # of the event loop in that time: a few milliseconds of rest in each
+REFUSAL_SECONDS = 0.3  # s
+MAX_TURNS = 150  # of the event loop in that time: each pauses for a few milliseconds
+
 
+def test_loop_pauses_while_sends_are_refused(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The event loop must not spin while the system has no memory for sends.
 
-def test_the_loop_rests_while_sends_are_refused_for_long(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What happened: while the system had no memory for sends, the event loop turned without rest and used a
-    whole core. Why: the socket polls as writable, so its send is tried in each turn. What showed it: 12,000
-    turns in 0.3 s."""
+    The socket polls as writable, so its send is tried in each turn; without a pause the loop made 12,000
+    turns in 0.3 s and used a whole core.
+    """
     polls = 0
     poll = RetryingEpoll.poll
 
@@ -215,17 +218,17 @@
         polls += 1
         return poll(self, timeout, most)
 
-    def refused(self: socket.socket, *given: Any) -> int:
+    def refused_call(self: socket.socket, *args: Any) -> int:
         raise OSError(errno.ENOBUFS, "for long")
 
     async def count() -> tuple[int, bytes]:
         here, there = socket.socketpair()
         transport, _ = await asyncio.get_running_loop().create_connection(asyncio.Protocol, sock=here)
         with pytest.MonkeyPatch.context() as patch:
-            patch.setattr(socket.socket, "send", refused)
+            patch.setattr(socket.socket, "send", refused_call)
             transport.write(b"x" * 100)
             before = polls
-            await asyncio.sleep(REFUSED_FOR)
+            await asyncio.sleep(REFUSAL_SECONDS)
             turns = polls - before
         await asyncio.sleep(0.1)
         sent = there.recv(1_000, socket.MSG_DONTWAIT)
@@ -237,4 +240,4 @@
     with asyncio.Runner(loop_factory=new_event_loop) as runner:
         turns, sent = runner.run(count())
     assert sent == b"x" * 100
-    assert turns <= TURNS
+    assert turns <= MAX_TURNS
--- a/tests/test_signals_unwoken.py
+++ b/tests/test_signals_unwoken.py
@@ -1,4 +1,4 @@
-"""Signals where the byte that wakes an event loop can't be written."""
+"""Signals when the byte that wakes the event loop can't be written."""
 
 import asyncio
 import signal
@@ -9,7 +9,7 @@
 
 from heathford.child_signals import send_signal
 
-UNWOKEN = """
+NO_WAKEUP_SCRIPT = """
 import asyncio, os, signal
 from heathford.cli import logs
 from heathford.event_loop import new_event_loop
@@ -25,11 +25,11 @@
 """
 
 
-def test_a_process_hears_of_signals_without_the_byte_that_wakes_its_loop(tmp_path: Path) -> None:
-    """Seen before: it went on, and was killed with all that it had taken."""
+def test_signals_are_handled_without_the_wake_up_byte(tmp_path: Path) -> None:
+    """Without the byte, a process missed SIGTERM and was killed with all requests it had accepted."""
 
-    async def day() -> None:
-        async with node_process(tmp_path, "-c", UNWOKEN) as process, asyncio.timeout(10.0):
+    async def scenario() -> None:
+        async with node_process(tmp_path, "-c", NO_WAKEUP_SCRIPT) as process, asyncio.timeout(10.0):
             await wait_for_log(process, b'"ready"')
             await asyncio.sleep(0.5)
             send_signal(process, signal.SIGHUP)
@@ -39,4 +39,4 @@
             assert await process.wait() == 0
             assert 0.6 <= monotonic() - began < 1.5
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -1,4 +1,4 @@
-"""System calls that fail for a moment cost a moment, and are not laid at an engine's door."""
+"""System calls that fail for a moment are retried, and do not count against an engine."""
 
 import asyncio
 import errno
@@ -14,135 +14,133 @@
 from heathford.standin.platform import GOOD, READ
 
 FAILURES = 8
-LOCAL = [errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
+LOCAL_ERRORS = [errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
 
 
-@pytest.mark.parametrize("number", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
-def test_a_moment_without_room_does_not_stop_accepting(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("errno_value", [errno.ENFILE, errno.EMFILE, errno.ENOBUFS, errno.ENOMEM])
+def test_accepting_goes_on_after_transient_errors(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, errno_value: int
 ) -> None:
-    async def day(play: FrontSetup) -> None:
+    async def scenario(setup: FrontSetup) -> None:
         left, accept = FAILURES, socket.socket.accept
 
         def failing(self: socket.socket) -> Any:
             nonlocal left
             if left:
                 left -= 1
-                raise OSError(number, "for a moment")
+                raise OSError(errno_value, "for a moment")
             return accept(self)
 
         monkeypatch.setattr(socket.socket, "accept", failing)
         began = time.monotonic()
-        client = play.client()
+        client = setup.client()
         client.send(b"GET /health/ready HTTP/1.1\r\nHost: o\r\n\r\n")
         assert await client.wait_for_answers(1) == [200]
         assert time.monotonic() - began < 0.5
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-@pytest.mark.parametrize("number", LOCAL)
-def test_trouble_of_our_own_in_a_connect_is_not_laid_at_the_engine(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, number: int
+@pytest.mark.parametrize("errno_value", LOCAL_ERRORS)
+def test_local_connect_error_does_not_count_against_the_engine(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch, errno_value: int
 ) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        left, connect = 2, play.node.loop.create_connection
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        left, connect = 2, setup.node.loop.create_connection
 
-        async def failing(made: Any, host: str, port: int, **more: Any) -> Any:
+        async def failing(protocol_factory: Any, host: str, port: int, **kwargs: Any) -> Any:
             nonlocal left
-            if left and port == a.listener.getsockname()[1]:
+            if left and port == prefill_engine.listener.getsockname()[1]:
                 left -= 1
-                raise OSError(number, "for a moment")
-            return await connect(made, host, port, **more)
+                raise OSError(errno_value, "for a moment")
+            return await connect(protocol_factory, host, port, **kwargs)
 
-        monkeypatch.setattr(play.node.loop, "create_connection", failing)
-        client = play.client()
+        monkeypatch.setattr(setup.node.loop, "create_connection", failing)
+        client = setup.client()
         client.send(request("c0"))
-        (await a.wait_for_request()).sock.sendall(READ)
-        (await b.wait_for_request()).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await decode_engine.wait_for_request()).sock.sendall(GOOD)
         await until(lambda: client.whole_streams == 1, "the stream's end")
-        assert all(not e.failures and not e.cooldowns for e in play.node.core.router.engines.values())
-        pools = play.node.link.pools
+        assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
+        pools = setup.node.link.pools
         assert not pools.open - sum(len(pool.idle) for pool in pools.pools.values())
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_asyncio_still_knows_the_delay_that_is_set() -> None:
-    """It is no promise of asyncio's: one that no longer reads it has to be found here."""
+def test_asyncio_still_reads_the_accept_retry_delay() -> None:
+    """The constant is not part of asyncio's public API: this test notices when it is no longer used."""
     source = Path(asyncio.selector_events.__file__).read_text()
     assert "constants.ACCEPT_RETRY_DELAY" in source
 
 
 class FailingPoll:
-    """A poll(2) that has no memory."""
+    """A poll object whose poll(2) fails for want of memory."""
 
     def register(self, descriptor: int, flags: int) -> None:
-        """Nothing fails yet."""
+        """Do nothing."""
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
         raise OSError(errno.ENOMEM, "for a moment")
 
 
-def test_a_request_is_served_while_looks_at_sockets_fail(
-    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
-) -> None:
-    """Guards against a request that waits for its last resort, as nothing could be learnt of its client."""
+def test_request_is_served_while_poll_fails(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+    """While the client's state is unknown, its attempts must go on, not wait until the request expires."""
 
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        prefill_engine, decode_engine = setup.engines
+        client = setup.client()
         client.send(request("c0"))
-        await until(lambda: bool(play.node.clients.open_requests), "the request")
+        await until(lambda: bool(setup.node.clients.open_requests), "the request")
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             for _ in range(20):
                 await asyncio.sleep(0.01)
-        (await a.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             await asyncio.sleep(0.1)
-        (await b.wait_for_request()).sock.sendall(GOOD)
+        (await decode_engine.wait_for_request()).sock.sendall(GOOD)
         await until(lambda: client.whole_streams == 1, "the stream's end")
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_process_ends_in_order_while_looks_at_sockets_fail(
+def test_shutdown_completes_although_poll_fails_for_a_time(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Guards against an end that is broken off: what was taken would be lost."""
+    """A shutdown that raises would lose accepted requests."""
 
-    async def day(play: FrontSetup) -> None:
-        client = play.client()
-        await play.answer(client, "c0")
-        play.node.terminate()
+    async def scenario(setup: FrontSetup) -> None:
+        client = setup.client()
+        await setup.answer(client, "c0")
+        setup.node.terminate()
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
-            ending = asyncio.create_task(play.node.end())
+            shutdown = asyncio.create_task(setup.node.end())
             await asyncio.sleep(1.0)
-            assert not ending.done()  # nothing is known of what may lie unread: it goes on
-        await asyncio.wait_for(ending, 2.0)
+            assert not shutdown.done()  # unread data can't be excluded: it goes on
+        await asyncio.wait_for(shutdown, 2.0)
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_a_process_ends_in_order_where_a_client_resets_in_the_moment_of_a_shutdown(tmp_path: Path) -> None:
-    """Guards against an end that one connection breaks off: ENOTCONN after a look that found it whole."""
+def test_shutdown_completes_when_a_client_resets_during_half_close(tmp_path: Path) -> None:
+    """A connection may fail with ENOTCONN right after it was found open; the shutdown must go on."""
 
-    async def day(play: FrontSetup) -> None:
-        client, other = play.client(), play.client()
-        await play.answer(client, "c0")
-        await play.answer(other, "c1")
-        transport: Any = next(iter(play.node.clients.connections)).transport
+    async def scenario(setup: FrontSetup) -> None:
+        client, other = setup.client(), setup.client()
+        await setup.answer(client, "c0")
+        await setup.answer(other, "c1")
+        transport: Any = next(iter(setup.node.clients.connections)).transport
 
         def refused() -> None:
             raise OSError(errno.ENOTCONN, "it was reset")
 
         transport.write_eof = refused
-        play.node.terminate()
-        await asyncio.wait_for(play.node.end(), 3.0)
-        assert not play.node.clients.connections
+        setup.node.terminate()
+        await asyncio.wait_for(setup.node.end(), 3.0)
+        assert not setup.node.clients.connections
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
