--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -1,4 +1,7 @@
-"""A front node as a process on loopback: the whole path, each fault, signals; stand-ins of the protocol."""
+"""A front node as a process on loopback, with stand-ins for engines and discovery.
+
+Covers the path of a request, each outcome of an attempt, malformed requests, discovery, shutdown and start.
+"""
 
 import asyncio
 import os
@@ -22,11 +25,11 @@
 from heathford.standin.platform import EVENTS, GOOD, Agent, ScriptedEngine, settings
 
 ALL = b"".join(EVENTS)
-TEST_TIMEOUT = 20.0  # s for a test: far beyond what any takes
+TEST_TIMEOUT = 20.0  # s: far longer than any test takes
 
 
 class NodeClient:
-    """One connection; bytes as they come."""
+    """One client connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
@@ -41,7 +44,7 @@
         }
 
     async def read_answer(self) -> tuple[int, bytes, bool]:
-        """Status, body, and whether it was whole."""
+        """Read an answer; return its status, its body and whether it was complete."""
         status, headers = await self.read_head()
         if "content-length" in headers:
             return status, await self.reader.readexactly(int(headers["content-length"])), True
@@ -55,7 +58,7 @@
         return status, body, True
 
     async def read_until_closed(self) -> bytes:
-        """What comes until the other side closes."""
+        """Read until the other side closes; return what came."""
         try:
             return await self.reader.read()
         except ConnectionError:
@@ -68,20 +71,20 @@
     workload: str = "chat",
     prompt: str = "9",
     body: bytes = b"",
-    more: str = "",
+    extra_headers: str = "",
     target: str = "/v1/chat/completions?v=1",
 ) -> bytes:
     body = body or orjson.dumps({"stream": True, "messages": [{"role": "user", "content": "x" * 36}]})
     return (
         f"POST {target} HTTP/1.1\r\nHost: o\r\nX-Call-Id: {name}\r\nX-Call-Class: {workload}\r\n"
-        f"X-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n{more}"
+        f"X-Route-Hash: s1\r\nX-Budget-Ms: {budget}\r\n{extra_headers}"
         f"X-Call-Info: prompt_len={prompt},prefix_len=0,max_out=20\r\n"
         f"Content-Length: {len(body)}\r\n\r\n"
     ).encode() + body
 
 
 class NodeProcess:
-    """A front node's process, its engines and discovery."""
+    """A front node's process, with its engines, its discovery and its clients."""
 
     def __init__(self, folder: Path, *engines: ScriptedEngine) -> None:
         self.folder, self.engines, self.agent = folder, engines, Agent(*engines)
@@ -96,9 +99,11 @@
         before: Callable[["NodeProcess"], None] | None = None,
         **limits: Any,
     ) -> None:
-        """limited: the process may have no more descriptors than it is told. before: called once what the
-        front knows from before is written, and before it starts; then it is not waited for until the node
-        watches."""
+        """Start the process, and wait until it is ready and watches discovery.
+
+        limited: limit the process's descriptors to `sockets`. before: called once the configuration is
+        written, before the process starts; with it, the watch is not waited for.
+        """
         for engine in self.engines:
             await engine.open()
         await self.agent.open()
@@ -133,13 +138,13 @@
                 "NODE_CONFIG": str(self.path),
             },
         )
-        ready = await self.until("ready")
+        ready = await self.wait_for_log("ready")
         self.port = int(ready["listen"].rpartition(":")[2])
         if not before:
             await self.agent.until_watched()
 
-    async def until(self, event: str) -> dict[str, Any]:
-        """Until it has logged that."""
+    async def wait_for_log(self, event: str) -> dict[str, Any]:
+        """Read the log until this event; return its line."""
         assert self.process and self.process.stderr
         while line := await self.process.stderr.readline():
             self.log_lines.append(orjson.loads(line))
@@ -151,9 +156,9 @@
         self.clients.append(NodeClient(*await asyncio.open_connection("127.0.0.1", self.port)))
         return self.clients[-1]
 
-    async def request(self, name: str, **more: Any) -> tuple[int, bytes, bool]:
+    async def request(self, name: str, **fields: Any) -> tuple[int, bytes, bool]:
         client = await self.client()
-        client.send(request_bytes(name, **more))
+        client.send(request_bytes(name, **fields))
         return await client.read_answer()
 
     async def stop(self) -> None:
@@ -194,7 +199,7 @@
     asyncio.run(run())
 
 
-def test_a_completion_is_read_then_written_and_passed_on_as_it_came(tmp_path: Path) -> None:
+def test_request_is_prefilled_decoded_and_streamed_unchanged(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill(), decode()
 
     async def scenario(node: NodeProcess) -> None:
@@ -203,9 +208,8 @@
             client.send(request_bytes(f"c{n}"))
             assert await client.read_answer() == (200, ALL, True)
         assert prefill_engine.asked == decode_engine.asked == [("POST", f"c{n}") for n in range(3)]
-        while prefill_engine.connected == len(
-            prefill_engine.asked
-        ):  # until a kept connection was used: some ms after an answer
+        # Until a connection was reused, which happens some ms after an answer at the earliest.
+        while prefill_engine.connected == len(prefill_engine.asked):
             client.send(request_bytes(f"d{len(prefill_engine.asked)}"))
             assert await client.read_answer() == (200, ALL, True)
         assert (
@@ -222,14 +226,14 @@
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-CUT = (200, EVENTS[0], False)
+INCOMPLETE_STREAM = (200, EVENTS[0], False)
 
 
 @pytest.mark.parametrize(
-    "workload, read, write, answer, sent",
+    "workload, prefill_script, decode_script, answer, decode_attempts",
     [
-        # What is known not to have run may be sent again, whatever its effect; what may have run only if that
-        # does no harm.
+        # An attempt that is known not to have run may be retried whatever its effect, one that may have run
+        # only if it is idempotent.
         ("chat", ["full"], [], (200, ALL, True), 1),
         ("booking", ["error"], [], (200, ALL, True), 1),
         ("booking", ["reset"], [], (200, ALL, True), 1),
@@ -240,33 +244,38 @@
         ("booking", [], ["busy"], 502, 1),
         ("chat", [], ["reset"], (200, ALL, True), 2),
         ("booking", [], ["gone"], (200, ALL, True), 2),
-        # Spoilt before the first event: may have run. Later: it is the client's, and ends without its last
-        # chunk.
+        # A stream malformed before its first event may have run. After that it belongs to the client, and
+        # ends without its last chunk.
         ("chat", [], [b"noise\r\n\r\n"], (200, ALL, True), 2),
         ("booking", [], [b"noise\r\n\r\n"], 502, 1),
-        ("chat", [], ["break"], CUT, 1),
+        ("chat", [], ["break"], INCOMPLETE_STREAM, 1),
         ("chat", [], [GOOD[: GOOD.index(b"\r\n\r\n") + 4] + b"zz\r\n"], (200, ALL, True), 2),
-        # Good though odd.
+        # Unusual, but valid.
         ("booking", [], [b"HTTP/1.1 103 X\r\n\r\n" + GOOD], (200, ALL, True), 1),
         ("booking", [], [GOOD + GOOD], (200, ALL, True), 1),
     ],
 )
-def test_each_way_an_engine_can_end_a_dispatch(
-    tmp_path: Path, workload: str, read: list[Any], write: list[Any], answer: Any, sent: int
+def test_outcomes_of_attempts(
+    tmp_path: Path,
+    workload: str,
+    prefill_script: list[Any],
+    decode_script: list[Any],
+    answer: Any,
+    decode_attempts: int,
 ) -> None:
-    prefill_engine, decode_engine = prefill(*read), decode(*write)
+    prefill_engine, decode_engine = prefill(*prefill_script), decode(*decode_script)
 
     async def scenario(node: NodeProcess) -> None:
-        found = await node.request("c0", workload=workload)
-        assert found == answer if isinstance(answer, tuple) else found[0] == answer
-        assert decode_engine.asked.count(("POST", "c0")) == sent
-        # What came behind an answer is nobody's: the next gets its own.
+        answer_received = await node.request("c0", workload=workload)
+        assert answer_received == answer if isinstance(answer, tuple) else answer_received[0] == answer
+        assert decode_engine.asked.count(("POST", "c0")) == decode_attempts
+        # Bytes behind an answer are discarded: the next request gets its own answer.
         assert await node.request("c1", workload=workload) == (200, ALL, True)
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_a_stream_spoilt_after_its_first_event_ends_without_the_last_chunk(tmp_path: Path) -> None:
+def test_stream_malformed_after_its_first_event_ends_without_the_last_chunk(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill(), decode("spoil")
 
     async def scenario(node: NodeProcess) -> None:
@@ -280,32 +289,32 @@
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_an_engine_that_can_not_be_reached_is_passed_over(tmp_path: Path) -> None:
-    prefill_engine, decode_engine, dead = prefill(), decode(), decode(uid="dead")
+def test_unreachable_engine_is_avoided(tmp_path: Path) -> None:
+    prefill_engine, decode_engine, unreachable = prefill(), decode(), decode(uid="dead")
 
     async def scenario(node: NodeProcess) -> None:
-        dead.close()
+        unreachable.close()
         for n in range(6):
             assert await node.request(f"c{n}", workload="booking") == (200, ALL, True)
-        assert not dead.asked
+        assert not unreachable.asked
 
-    run_scenario(tmp_path, [prefill_engine, decode_engine, dead], scenario)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, unreachable], scenario)
 
 
-def test_one_that_gets_no_answer_is_answered_before_its_time_is_up(tmp_path: Path) -> None:
+def test_unanswered_attempt_is_aborted_before_the_deadline(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill(), decode("silent", "silent")
 
     async def scenario(node: NodeProcess) -> None:
-        begun = asyncio.get_running_loop().time()
-        status, _, whole = await node.request("c0", workload="booking", budget="700")
-        assert (status, whole) == (502, True) and asyncio.get_running_loop().time() - begun < 0.75
-        await prefill_engine.until(1, "DELETE")  # the state that it read is let go
+        started_at = asyncio.get_running_loop().time()
+        status, _, is_complete = await node.request("c0", workload="booking", budget="700")
+        assert (status, is_complete) == (502, True) and asyncio.get_running_loop().time() - started_at < 0.75
+        await prefill_engine.until(1, "DELETE")  # the prefill state is released
         assert [name for method, name in decode_engine.asked if method == "POST"] == ["c0"]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_a_client_that_leaves_takes_its_dispatch_and_state_along(tmp_path: Path) -> None:
+def test_client_that_leaves_has_its_attempt_and_state_cancelled(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill("hold"), decode()
 
     async def scenario(node: NodeProcess) -> None:
@@ -315,37 +324,37 @@
         client.writer.transport.abort()
         await decode_engine.until(0)
         held = asyncio.create_task(prefill_engine.until(1, "DELETE"))
-        other = asyncio.create_task(decode_engine.until(1, "DELETE"))
-        await asyncio.wait([held, other], return_when=asyncio.FIRST_COMPLETED)
+        other_engine = asyncio.create_task(decode_engine.until(1, "DELETE"))
+        await asyncio.wait([held, other_engine], return_when=asyncio.FIRST_COMPLETED)
         assert not [m for m, _ in decode_engine.asked if m == "POST"]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-@pytest.mark.parametrize("left", [0, 1])
-def test_a_layout_without_a_role_answers_at_once(tmp_path: Path, left: int) -> None:
+@pytest.mark.parametrize("remaining_role", [0, 1])
+def test_request_is_refused_at_once_without_engines_of_a_role(tmp_path: Path, remaining_role: int) -> None:
     async def scenario(node: NodeProcess) -> None:
         loop = asyncio.get_running_loop()
-        began = loop.time()
+        started_at = loop.time()
         assert (await node.request("c0"))[0] == 503
         assert (await node.request("c1", workload="booking"))[0] == 503
-        assert loop.time() - began < 2.0  # of 8 that the two would wait
+        assert loop.time() - started_at < 2.0  # the two could wait for 8 s
 
-    run_scenario(tmp_path, [prefill() if left == 0 else decode()], scenario)
+    run_scenario(tmp_path, [prefill() if remaining_role == 0 else decode()], scenario)
 
 
-def test_a_full_deployment_says_when_to_come_back(tmp_path: Path) -> None:
+def test_rejection_has_a_retry_after_header(tmp_path: Path) -> None:
     async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         client.send(request_bytes("c0", budget="300"))
         status, headers = await client.read_head()
         assert status == 503 and 0.0 < float(headers["retry-after"]) <= 1.0
 
-    run_scenario(tmp_path, [prefill()], scenario)  # no writer at all
+    run_scenario(tmp_path, [prefill()], scenario)  # no decode engine at all
 
 
 @pytest.mark.parametrize(
-    "said, status",
+    "sent_bytes, status",
     [
         (request_bytes(""), 400),
         (request_bytes("a/../b"), 400),
@@ -359,24 +368,26 @@
         (request_bytes("c0", prompt="9" * 12), 400),
         (request_bytes("c0", body=b"{"), 400),
         (request_bytes("c0", body=b"{}"), 400),
-        (request_bytes("c0", more="X-Call-Id: c1\r\n"), 400),
+        (request_bytes("c0", extra_headers="X-Call-Id: c1\r\n"), 400),
         (request_bytes("c0", target="/v1/other"), 404),
-        (request_bytes("c0", more="Transfer-Encoding: chunked\r\n"), 400),
+        (request_bytes("c0", extra_headers="Transfer-Encoding: chunked\r\n"), 400),
         (b"GET /v1/chat/completions HTTP/1.1\r\n\r\n", 405),
         (b"POST /v1/chat/completions HTTP/1.1\r\nContent-Length: 62914560\r\n\r\n", 413),
         (b"\x00" * 100, 400),
         (b"GET /" + b"a" * 40_000, 431),
     ],
 )
-def test_what_makes_no_sense_is_refused_and_never_sent_on(tmp_path: Path, said: bytes, status: int) -> None:
+def test_malformed_request_is_refused_and_not_forwarded(
+    tmp_path: Path, sent_bytes: bytes, status: int
+) -> None:
     prefill_engine, decode_engine = prefill(), decode()
 
     async def scenario(node: NodeProcess) -> None:
         client = await node.client()
-        client.send(said)
+        client.send(sent_bytes)
         assert (await client.read_answer())[0] == status
-        # By none of the calls that a link makes. A front node of another test may look for its discovery,
-        # which has ended, on a port that an engine here was given.
+        # Counts only the calls that a link makes: a front node of another test may look for its discovery,
+        # which has ended, on a port that an engine here was given since.
         assert not [
             call for call in prefill_engine.asked + decode_engine.asked if call[0] in ("POST", "DELETE")
         ]
@@ -385,7 +396,7 @@
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_the_id_of_an_open_completion_is_refused_until_it_is_over(tmp_path: Path) -> None:
+def test_call_id_is_refused_while_its_request_is_open(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill("hold"), decode()
 
     async def scenario(node: NodeProcess) -> None:
@@ -400,87 +411,94 @@
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_silent_connections_make_way_and_are_closed_in_time(tmp_path: Path) -> None:
+def test_silent_connections_are_evicted_and_closed_in_time(tmp_path: Path) -> None:
     async def scenario(node: NodeProcess) -> None:
-        begun = asyncio.get_running_loop().time()
-        silent = [await node.client() for _ in range(100)]  # half of 64 descriptors are clients'
+        started_at = asyncio.get_running_loop().time()
+        silent = [await node.client() for _ in range(100)]  # clients may have about half of 64 descriptors
         assert await node.request("c0") == (200, ALL, True)
-        said = [await client.read_until_closed() for client in silent]
-        assert asyncio.get_running_loop().time() - begun < 3.0
-        assert {line.split(b"\r\n")[0] for line in said} <= {b"", b"HTTP/1.1 408 Request Timeout"}
+        sent_bytes = [await client.read_until_closed() for client in silent]
+        assert asyncio.get_running_loop().time() - started_at < 3.0
+        assert {line.split(b"\r\n")[0] for line in sent_bytes} <= {b"", b"HTTP/1.1 408 Request Timeout"}
 
     run_scenario(tmp_path, [prefill(), decode()], scenario, sockets=64)
 
 
-def test_the_end_serves_on_and_answers_all_that_was_taken(tmp_path: Path) -> None:
+def test_shutdown_answers_all_accepted_requests(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill(), decode("hold")
 
     async def scenario(node: NodeProcess) -> None:
-        idle, busy, late = [await node.client() for _ in range(3)]
-        idle.send(request_bytes("c0"))
+        idle_client, busy_client, late_client = [await node.client() for _ in range(3)]
+        idle_client.send(request_bytes("c0"))
         await decode_engine.until(1)
         decode_engine.held.set()
-        assert await idle.read_answer() == (200, ALL, True)
+        assert await idle_client.read_answer() == (200, ALL, True)
         decode_engine.held.clear()
         decode_engine.script.append("hold")
-        busy.send(request_bytes("c1"))
+        busy_client.send(request_bytes("c1"))
         await decode_engine.until(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
-        await node.until("ending")
-        busy.send(request_bytes("c3"))  # behind the one in hand
-        late.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
-        status, headers = await late.read_head()
+        await node.wait_for_log("ending")
+        busy_client.send(request_bytes("c3"))  # behind the open request
+        late_client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
+        status, headers = await late_client.read_head()
         assert status == 503 and headers["connection"] == "close"
         assert await node.request("c2") == (200, ALL, True)
-        assert await idle.read_until_closed() == b""
+        assert await idle_client.read_until_closed() == b""
         decode_engine.held.set()
-        assert [await busy.read_answer() for _ in range(2)] == [(200, ALL, True)] * 2
-        await node.until("ended")
+        assert [await busy_client.read_answer() for _ in range(2)] == [(200, ALL, True)] * 2
+        await node.wait_for_log("ended")
         assert await node.process.wait() == 0
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_a_new_configuration_moves_the_watch_and_a_broken_one_does_not(tmp_path: Path) -> None:
-    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
+def test_reload_changes_the_discovery_address_unless_malformed(tmp_path: Path) -> None:
+    prefill_engine, decode_engine, other_engine = prefill(), decode(), decode(uid="w2")
 
     async def scenario(node: NodeProcess) -> None:
         assert node.process
         node.path.write_text("{")
         send_signal(node.process, signal.SIGHUP)
-        await node.until("configuration not taken")
+        await node.wait_for_log("configuration not taken")
         assert await node.request("c0") == (200, ALL, True)
-        without = {key: value for key, value in node.config["settings"].items() if key != "nInstances"}
-        node.path.write_bytes(orjson.dumps({**node.config, "discovery": "127.0.0.1:1", "settings": without}))
+        incomplete_settings = {
+            key: value for key, value in node.config["settings"].items() if key != "nInstances"
+        }
+        node.path.write_bytes(
+            orjson.dumps({**node.config, "discovery": "127.0.0.1:1", "settings": incomplete_settings})
+        )
         send_signal(node.process, signal.SIGHUP)
-        told = await node.until("configuration not taken")
-        assert "nInstances is missing" in told["why"]
-        await other.open()
-        moved = Agent(prefill_engine, other)
-        moved.version = 7
-        await moved.open()
-        node.path.write_bytes(orjson.dumps({**node.config, "discovery": moved.address}))
+        log_line = await node.wait_for_log("configuration not taken")
+        assert "nInstances is missing" in log_line["why"]
+        await other_engine.open()
+        new_agent = Agent(prefill_engine, other_engine)
+        new_agent.version = 7
+        await new_agent.open()
+        node.path.write_bytes(orjson.dumps({**node.config, "discovery": new_agent.address}))
         send_signal(node.process, signal.SIGHUP)
-        await moved.until_watched()
+        await new_agent.until_watched()
         assert await node.request("c1") == (200, ALL, True)
-        assert ("POST", "c1") in other.asked and ("POST", "c1") not in decode_engine.asked
-        moved.close()
-        other.close()
+        assert ("POST", "c1") in other_engine.asked and ("POST", "c1") not in decode_engine.asked
+        new_agent.close()
+        other_engine.close()
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
 
-def test_a_drain_is_kept_and_discovery_that_is_down_changes_nothing(tmp_path: Path) -> None:
-    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
+def test_drain_is_kept_while_discovery_is_down(tmp_path: Path) -> None:
+    prefill_engine, decode_engine, other_engine = prefill(), decode(), decode(uid="w2")
 
     async def scenario(node: NodeProcess) -> None:
         decode_engine.state = "DRAINING"
         node.agent.say(decode_engine.row)
-        # Until it is heard, either may be chosen; a change is heard in order, so ask until the other is.
+        # Either engine may be chosen until the front node has received the drain: repeat until the other is
+        # chosen three times in a row.
         for n in range(100):
             assert await node.request(f"c{n}") == (200, ALL, True)
-            if len(other.asked) >= 5 and other.asked[-3:] == [("POST", f"c{k}") for k in range(n - 2, n + 1)]:
+            if len(other_engine.asked) >= 5 and other_engine.asked[-3:] == [
+                ("POST", f"c{k}") for k in range(n - 2, n + 1)
+            ]:
                 break
         count = len(decode_engine.asked)
         node.agent.close()
@@ -488,26 +506,28 @@
             assert await node.request(f"d{n}") == (200, ALL, True)
         assert len(decode_engine.asked) == count
 
-    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario)
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other_engine], scenario)
+
 
+def test_start_waits_for_the_endpoint_list(tmp_path: Path) -> None:
+    """The process is held to the agent's list from its first moment; the configured list may be out of date.
 
-def test_a_new_process_asks_for_the_list_before_it_is_ready(tmp_path: Path) -> None:
-    """What the agent has counts as told from the first moment: what is known from before may be old. The
-    first call gets no answer, as one made while discovery is down; the list comes with the second."""
-    prefill_engine, decode_engine, other = prefill(), decode(), decode(uid="w2")
+    The first call gets no answer, like one made while discovery is down; the second returns the list.
+    """
+    prefill_engine, decode_engine, other_engine = prefill(), decode(), decode(uid="w2")
 
-    def drained_meanwhile(node: NodeProcess) -> None:
-        decode_engine.state, other.state, node.agent.unanswered = "DRAINING", "SERVING", 1
+    def swap_drain(node: NodeProcess) -> None:
+        decode_engine.state, other_engine.state, node.agent.unanswered = "DRAINING", "SERVING", 1
 
     async def scenario(node: NodeProcess) -> None:
         assert await node.request("c0") == (200, ALL, True)
-        assert not decode_engine.asked and ("POST", "c0") in other.asked
+        assert not decode_engine.asked and ("POST", "c0") in other_engine.asked
 
-    other.state = "DRAINING"
-    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario, before=drained_meanwhile)
+    other_engine.state = "DRAINING"
+    run_scenario(tmp_path, [prefill_engine, decode_engine, other_engine], scenario, before=swap_drain)
 
 
-def test_with_a_silent_agent_a_process_starts_on_what_it_knew(tmp_path: Path) -> None:
+def test_start_with_a_silent_agent_uses_the_configured_list(tmp_path: Path) -> None:
     async def scenario(node: NodeProcess) -> None:
         assert node.log_lines[-1]["event"] == "ready" and node.log_lines[-2]["event"] == "state"
         assert "no endpoint list from discovery yet" in {line["event"] for line in node.log_lines}
@@ -522,61 +542,62 @@
 
 
 @asynccontextmanager
-async def watched() -> AsyncIterator[tuple[ScriptedEngine, Agent, list[Health]]]:
-    """One engine, discovery, and the states that a Watch has heard there, in order; it watches."""
+async def watching_client() -> AsyncIterator[tuple[ScriptedEngine, Agent, list[Health]]]:
+    """Run a DiscoveryClient; yield an engine, its agent and the engine's states received, in order."""
     engine = decode()
     await engine.open()
     agent = Agent(engine)
     await agent.open()
-    heard: list[Health] = []
+    received_states: list[Health] = []
     host, _, port = agent.address.rpartition(":")
     watch = DiscoveryClient(
         host,
         int(port),
         EndpointList({"m1": (0, Role.DECODE)}, ["a", "b"]),
-        lambda change: heard.extend(row[4] for row in change.entries),
+        lambda change: received_states.extend(row[4] for row in change.entries),
     )
     watch.start()
     try:
         async with asyncio.timeout(TEST_TIMEOUT):
             await agent.until_watched()
-            yield engine, agent, heard
+            yield engine, agent, received_states
     finally:
         watch.stop()
         agent.close()
         engine.close()
 
 
-def test_what_discovery_has_after_a_silence_is_heard_within_the_shortest_grace(tmp_path: Path) -> None:
-    """Seen on a fleet whose discovery was down for 8 s: the list call made meanwhile was never answered and
-    waited for 5 s, while what the agent had counted as told and engines drained."""
+def test_drain_after_a_discovery_outage_is_received_within_the_shortest_grace(tmp_path: Path) -> None:
+    """A list call made while discovery is down is never answered, and must not be waited for.
+
+    On a fleet whose discovery was down for 8 s such a call was waited for 5 s, while engines were already
+    draining according to the agent's list.
+    """
 
     async def run() -> None:
-        async with watched() as (engine, agent, heard):
+        async with watching_client() as (engine, agent, received_states):
             agent.silent = True
-            for watching in agent.watching:
-                watching.close()
+            for connection in agent.watching:
+                connection.close()
             await asyncio.sleep(1.0)
             agent.silent, engine.state = False, "DRAINING"
             agent.version += 1
             await asyncio.sleep(0.5)
-            assert heard[-1] is Health.DRAINING
+            assert received_states[-1] is Health.DRAINING
 
     asyncio.run(run())
 
 
 @pytest.mark.parametrize("unanswered", [0, 2])
-def test_a_watch_that_has_fallen_silent_is_begun_anew(
-    monkeypatch: pytest.MonkeyPatch, unanswered: int
-) -> None:
-    """What it misses counts as told all the same. Also where the first calls after it get no answer."""
+def test_silent_watch_is_reopened(monkeypatch: pytest.MonkeyPatch, unanswered: int) -> None:
+    """The front node is held to changes that the watch misses, also if the next calls get no answer."""
     monkeypatch.setattr("heathford.discovery.follower.WATCH_SILENCE", 0.4)  # in place of 3 s
 
     async def run() -> None:
-        async with watched() as (engine, agent, heard):
+        async with watching_client() as (engine, agent, received_states):
             engine.state, agent.unanswered = "DRAINING", unanswered
-            agent.version += 1  # and the watch says nothing of it
-            while not heard or heard[-1] is not Health.DRAINING:
+            agent.version += 1  # without an event on the watch
+            while not received_states or received_states[-1] is not Health.DRAINING:
                 await asyncio.sleep(0.02)
             await agent.until_watched(2)
 
@@ -584,7 +605,7 @@
 
 
 @pytest.mark.parametrize(
-    "variables, why",
+    "variables, expected",
     [
         ({}, "missing environment variables: NODE_NAME"),
         ({"NODE_LISTEN": "here"}, "NODE_LISTEN is not HOST:PORT"),
@@ -597,7 +618,7 @@
         ({"text": "good", "NODE_LISTEN": "taken"}, "cannot listen on NODE_LISTEN"),
     ],
 )
-def test_a_start_that_can_not_be_is_told(tmp_path: Path, variables: dict[str, str], why: str) -> None:
+def test_failed_start_reports_its_reason(tmp_path: Path, variables: dict[str, str], expected: str) -> None:
     async def run() -> None:
         path = tmp_path / "config.json"
         text = variables.pop("text", "{}")
@@ -606,22 +627,22 @@
             if text != "good"
             else orjson.dumps({"discovery": "127.0.0.1:1", "limits": {}, "settings": settings()})
         )
-        given = variables and {
+        environment = variables and {
             "NODE_NAME": "n",
             "NODE_LISTEN": "127.0.0.1:0",
             "NODE_DISCOVERY": "h:1",
             "NODE_CONFIG": str(path),
             **variables,
         }
-        if why.startswith("not a JSON") or "settings" in why:
-            given = {
+        if expected.startswith("not a JSON") or "settings" in expected:
+            environment = {
                 "NODE_NAME": "n",
                 "NODE_LISTEN": "127.0.0.1:0",
                 "NODE_DISCOVERY": "h:1",
                 "NODE_CONFIG": str(path),
             }
         if variables.get("NODE_LISTEN") == "taken":
-            given["NODE_LISTEN"] = f"127.0.0.1:{other.getsockname()[1]}"
+            environment["NODE_LISTEN"] = f"127.0.0.1:{occupied.getsockname()[1]}"
         process = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -629,10 +650,10 @@
             "platform",
             cwd=Path(__file__).parent.parent,
             stderr=asyncio.subprocess.PIPE,
-            env={**os.environ, **given},
+            env={**os.environ, **environment},
         )
         _, error = await process.communicate()
-        assert process.returncode == 2 and why in error.decode()
+        assert process.returncode == 2 and expected in error.decode()
 
-    with socket.create_server(("127.0.0.1", 0)) as other:
+    with socket.create_server(("127.0.0.1", 0)) as occupied:
         asyncio.run(run())
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -1,4 +1,4 @@
-"""What an engine's bytes mean in the platform's protocol, cut at every byte."""
+"""The outcome of each engine answer in the platform's protocol, also when it arrives byte by byte."""
 
 import pytest
 
@@ -10,47 +10,50 @@
 ALL = b"".join(EVENTS)
 
 
-def feed_in_steps(said: bytes, is_prefill: bool, step: int) -> tuple[bytes, object]:
-    """What was passed on, and the verdict; None while it is not whole, "nonsense" once it is spoilt."""
-    answer, passed = Answer(is_prefill), b""
-    for at in range(0, len(said), step):
+def feed_in_steps(data: bytes, is_prefill: bool, part_size: int) -> tuple[bytes, object]:
+    """Feed an answer in parts; return what was passed on, and its outcome.
+
+    The outcome is None while the answer is incomplete, "nonsense" once it is malformed.
+    """
+    answer, passed_on = Answer(is_prefill), b""
+    for offset in range(0, len(data), part_size):
         try:
-            passed += answer.feed(said[at : at + step])
+            passed_on += answer.feed(data[offset : offset + part_size])
             if answer.response.done:
-                return passed, answer.outcome()
+                return passed_on, answer.outcome()
         except MalformedMessageError:
-            return passed, "nonsense"
-    return passed, None
+            return passed_on, "nonsense"
+    return passed_on, None
 
 
-UNTIL_CLOSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
-READ_UNTIL_CLOSE = b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\n"
+STREAM_UNTIL_CLOSE = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nConnection: close\r\n\r\n"
+PREFILL_UNTIL_CLOSE = b"HTTP/1.1 202 Accepted\r\nConnection: close\r\n\r\n"
 
 
 @pytest.mark.parametrize(
-    "said, is_prefill, passed, verdict",
+    "data, is_prefill, passed_on, expected",
     [
-        (UNTIL_CLOSE + ALL, False, ALL, (Outcome.FINISHED, 4)),
-        (UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
-        (READ_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Outcome.PREFILLED, 4)),
-        (READ_UNTIL_CLOSE + b'{"cached_tok', True, b"", "nonsense"),
-        (READ_UNTIL_CLOSE + b"x" * 300_000, True, b"", "nonsense"),
+        (STREAM_UNTIL_CLOSE + ALL, False, ALL, (Outcome.FINISHED, 4)),
+        (STREAM_UNTIL_CLOSE + ALL[:-3], False, ALL.removesuffix(EVENTS[-1]), "nonsense"),
+        (PREFILL_UNTIL_CLOSE + b'{"cached_tokens":4}', True, b"", (Outcome.PREFILLED, 4)),
+        (PREFILL_UNTIL_CLOSE + b'{"cached_tok', True, b"", "nonsense"),
+        (PREFILL_UNTIL_CLOSE + b"x" * 300_000, True, b"", "nonsense"),
     ],
 )
-def test_an_answer_without_a_length_ends_with_its_connection(
-    said: bytes, is_prefill: bool, passed: bytes, verdict: object
+def test_answer_without_a_length_ends_with_its_connection(
+    data: bytes, is_prefill: bool, passed_on: bytes, expected: object
 ) -> None:
-    for step in (1, 7, len(said)):
-        answer, got = Answer(is_prefill), b""
+    for part_size in (1, 7, len(data)):
+        answer, received = Answer(is_prefill), b""
         try:
-            for at in range(0, len(said), step):
-                got += answer.feed(said[at : at + step])
+            for offset in range(0, len(data), part_size):
+                received += answer.feed(data[offset : offset + part_size])
             assert not answer.response.done and not answer.keep
             answer.response.feed_eof()
-            found: object = answer.outcome()
+            result: object = answer.outcome()
         except MalformedMessageError:
-            found = "nonsense"
-        assert (got, found) == (passed, verdict)
+            result = "nonsense"
+        assert (received, result) == (passed_on, expected)
 
 
 @pytest.mark.parametrize(
@@ -64,14 +67,14 @@
         ("close , te", False),
     ],
 )
-def test_which_answers_end_their_connection(field: str, keep: bool) -> None:
+def test_connection_header_decides_about_reuse(field: str, keep: bool) -> None:
     answer = Answer(is_prefill=False)
     answer.feed(f"HTTP/1.1 500 X\r\nConnection: {field}\r\nContent-Length: 0\r\n\r\n".encode())
     assert answer.response.done and answer.keep == keep
 
 
 @pytest.mark.parametrize(
-    "said, is_prefill, passed, verdict",
+    "data, is_prefill, passed_on, expected",
     [
         (GOOD, False, ALL, (Outcome.FINISHED, 4)),
         (READ, True, b"", (Outcome.PREFILLED, 4)),
@@ -95,7 +98,7 @@
         ),
         (WORDS["begin"], False, EVENTS[0], None),
         (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Outcome.FINISHED, 4)),
-        # Spoilt before the first event, after which another dispatch may go out, and later.
+        # Malformed before the first event, when a retry is still possible, and later.
         (b"\x00\x01\x02noise", False, b"", "nonsense"),
         (b"HTTP/1.1 2x0 OK\r\n\r\n", False, b"", "nonsense"),
         (b"HTTP/1.1 200 OK\r\nA: " + b"a" * 20_000, False, b"", "nonsense"),
@@ -112,22 +115,22 @@
         (STREAM + chunk(ALL) + chunk(EVENTS[0]), False, ALL, "nonsense"),
     ],
 )
-def test_one_meaning_for_every_answer(said: bytes, is_prefill: bool, passed: bytes, verdict: object) -> None:
-    assert feed_in_steps(said, is_prefill, 1) == (passed, verdict)
-    at_once, same = feed_in_steps(said, is_prefill, len(said))
-    assert same == verdict and (at_once == passed or verdict == "nonsense")
+def test_outcome_of_each_answer(data: bytes, is_prefill: bool, passed_on: bytes, expected: object) -> None:
+    assert feed_in_steps(data, is_prefill, 1) == (passed_on, expected)
+    passed_at_once, result_at_once = feed_in_steps(data, is_prefill, len(data))
+    assert result_at_once == expected and (passed_at_once == passed_on or expected == "nonsense")
 
 
-def test_a_second_answer_behind_the_first_ends_the_connections_use() -> None:
+def test_connection_with_a_second_answer_is_not_reused() -> None:
     answer = Answer(is_prefill=False)
     assert answer.feed(GOOD + GOOD) == ALL
     assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep
-    clean = Answer(is_prefill=False)
-    clean.feed(GOOD)
-    assert clean.keep
+    next_answer = Answer(is_prefill=False)
+    next_answer.feed(GOOD)
+    assert next_answer.keep
 
 
-def test_no_chunk_makes_memory_grow() -> None:
+def test_unfinished_chunk_is_limited() -> None:
     answer = Answer(is_prefill=False)
     answer.feed(STREAM + chunk(EVENTS[0]) + b"3FFFF\r\n")
     with pytest.raises(MalformedMessageError):
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -1,4 +1,4 @@
-"""A front node whose descriptors run out, as a process with a limit of its own."""
+"""A front node that runs out of descriptors, as a process with a descriptor limit of its own."""
 
 import asyncio
 from pathlib import Path
@@ -9,14 +9,14 @@
 from heathford.platform.process import RESERVED_DESCRIPTORS, Descriptors
 
 SOCKETS = 128
-IDLE_CLIENTS = 400  # far more than there are descriptors
-TURNING_AWAY = 0.5  # s of processor time in a second: a loop that spins takes all of it
+IDLE_CLIENTS = 400  # far more than the process has descriptors
+MAX_CPU_SECONDS = 0.5  # in one second: a loop that spins would use all of it
 
 
 def processor_time(node: NodeProcess) -> float:
     assert node.process
     fields = Path(f"/proc/{node.process.pid}/stat").read_text().rpartition(")")[2].split()
-    return (int(fields[11]) + int(fields[12])) / 100  # in ticks of 10 ms
+    return (int(fields[11]) + int(fields[12])) / 100  # clock ticks of 10 ms
 
 
 def descriptors(node: NodeProcess) -> int:
@@ -25,16 +25,16 @@
 
 
 @pytest.mark.parametrize("limit", [64, 128, 256, 512, 1024, 65536])
-def test_clients_and_engines_leave_room_for_the_rest(limit: int) -> None:
+def test_descriptor_shares_leave_a_reserve(limit: int) -> None:
     shares = Descriptors.share(limit)
     assert shares.clients > limit / 3 and shares.engines > limit / 4
     assert limit - shares.clients - shares.engines >= min(RESERVED_DESCRIPTORS, limit // 3)
 
 
-def test_discovery_is_followed_again_though_idle_clients_hold_all_they_can(tmp_path: Path) -> None:
-    """Discovery goes down, idle clients fill the descriptors, discovery returns with news."""
-    prefill_engine, decode_engine, other = prefill(), decode("hold"), decode(uid="w2")
-    other.state = "DRAINING"
+def test_discovery_is_followed_again_while_idle_clients_fill_the_limit(tmp_path: Path) -> None:
+    """Discovery goes down, idle clients fill the descriptors, and discovery returns with a drain."""
+    prefill_engine, decode_engine, other_engine = prefill(), decode("hold"), decode(uid="w2")
+    other_engine.state = "DRAINING"
 
     async def scenario(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.request("c0"))
@@ -44,23 +44,29 @@
         node.agent.watching.clear()
         await asyncio.gather(*(node.client() for _ in range(IDLE_CLIENTS)))
         await asyncio.sleep(0.3)
-        spent = processor_time(node)
+        cpu_before = processor_time(node)
         await asyncio.sleep(1.0)
-        assert processor_time(node) - spent < TURNING_AWAY
+        assert processor_time(node) - cpu_before < MAX_CPU_SECONDS
         assert descriptors(node) <= SOCKETS
-        decode_engine.state, other.state = "DRAINING", "SERVING"
+        decode_engine.state, other_engine.state = "DRAINING", "SERVING"
         node.agent.version += 1
         await node.agent.open(port)
         await node.agent.until_watched()
         decode_engine.held.set()
         assert await waiting == (200, ALL, True)
-        assert await node.request("c1") == (200, ALL, True)  # on a new connection, though all are taken
-        assert ("POST", "c1") in other.asked and ("POST", "c1") not in decode_engine.asked
+        assert await node.request("c1") == (
+            200,
+            ALL,
+            True,
+        )  # on a new connection, although the limit is reached
+        assert ("POST", "c1") in other_engine.asked and ("POST", "c1") not in decode_engine.asked
 
-    run_scenario(tmp_path, [prefill_engine, decode_engine, other], scenario, sockets=SOCKETS, limited=True)
+    run_scenario(
+        tmp_path, [prefill_engine, decode_engine, other_engine], scenario, sockets=SOCKETS, limited=True
+    )
 
 
-def test_an_open_request_is_not_turned_out_for_new_clients(tmp_path: Path) -> None:
+def test_connection_with_an_open_request_is_not_evicted(tmp_path: Path) -> None:
     prefill_engine, decode_engine = prefill(), decode("hold", "hold", "hold")
 
     async def scenario(node: NodeProcess) -> None:
