--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -129,7 +129,7 @@
         )
         self.clients = ClientServer(
             self.core,
-            {c["name"]: index for index, c in enumerate(settings["categories"])},
+            {category["name"]: index for index, category in enumerate(settings["categories"])},
             descriptors.clients,
         )
         self.core.on_endpoint_list_failure = self.request_list_later
@@ -295,6 +295,7 @@
         """Whether a connection waits to be accepted; also true while the kernel can't say.
 
         Closing the listening socket would reset it, though its client's request has reached this machine.
+        Costs a system call.
         """
         if not self.server:
             return False
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -27,7 +27,7 @@
     def __call__(self, *args: Any, **kwargs: Any) -> Any:
         if self.left:
             self.left -= 1
-            raise OSError(self.number, "for a moment")
+            raise OSError(self.number, "transient failure")
         return self.call(*args, **kwargs)
 
 
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -53,20 +53,20 @@
     harness = core_harness()
     harness.engines((1, 0), (2, 1))
     raised = raise_in(monkeypatch, harness.link, "send")
-    client, taken = harness.take()
+    client, accepted_request = harness.take()
     harness.loop.pass_time(0.2)
-    assert raised and taken.in_flight is taken.attempts[1] and not client.finals
+    assert raised and accepted_request.in_flight is accepted_request.attempts[1] and not client.finals
     assert sum(len(engine.in_flight) for engine in harness.core.router.engines.values()) == 1
 
 
-@pytest.mark.parametrize("verdict", [Outcome.PREFILLED, Outcome.BROKEN])
+@pytest.mark.parametrize("outcome", [Outcome.PREFILLED, Outcome.BROKEN])
 def test_attempt_of_an_abandoned_request_does_not_stay_in_flight(
-    core_harness: MakeCoreHarness, monkeypatch: pytest.MonkeyPatch, verdict: Outcome
+    core_harness: MakeCoreHarness, monkeypatch: pytest.MonkeyPatch, outcome: Outcome
 ) -> None:
     harness = core_harness(may_cancel=False)
     harness.engines((1, 0), (2, 1))
-    client, taken = harness.take()
-    taken.abandon("a fault")
+    client, accepted_request = harness.take()
+    accepted_request.abandon("a fault")
     harness.loop.turn()
     assert client.finals == ["aborted: a fault"] and not harness.core.live
     assert sum(len(engine.in_flight) for engine in harness.core.router.engines.values()) == 0
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -54,11 +54,8 @@
         await node.agent.until_watched()
         decode_engine.held.set()
         assert await waiting == (200, ALL, True)
-        assert await node.request("c1") == (
-            200,
-            ALL,
-            True,
-        )  # on a new connection, although the limit is reached
+        # On a new connection, although the limit is reached.
+        assert await node.request("c1") == (200, ALL, True)
         assert ("POST", "c1") in other_engine.asked and ("POST", "c1") not in decode_engine.asked
 
     run_scenario(
--- a/tests/test_races_read_answered.py
+++ b/tests/test_races_read_answered.py
@@ -99,9 +99,8 @@
         partial.send(PARTIAL_REQUEST)
         await run_loop_turns()
         server = setup.node.clients
-        assert (
-            server.evict_one() and await idle.wait_until_closed() == idle.received
-        )  # answered and stays: first
+        # The connection that was answered and kept alive goes first.
+        assert server.evict_one() and await idle.wait_until_closed() == idle.received
         for _ in range(2):
             assert server.evict_one()
         assert not server.evict_one()
@@ -277,7 +276,7 @@
 
         run_before(monkeypatch, Node, "idle", connect_late)
         shutdown = await begin_shutdown(setup)
-        await until(lambda: bool(late_clients), "the last look")
+        await until(lambda: bool(late_clients), "the last check")
         assert await late_clients[0].wait_for_answers(1) == [503]
         late_clients[0].sock.close()
         await shutdown
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -45,7 +45,7 @@
         except OSError:
             own = False
         if own and (number := next(errors)):
-            raise OSError(number, "for a moment")
+            raise OSError(number, "transient failure")
         return call(self, *args)
 
     monkeypatch.setattr(socket.socket, name, refused_call)
@@ -89,7 +89,7 @@
 
     def fail_every_other_call(self) -> None:
         if number := next(self.errors):
-            raise OSError(number, "for a moment")
+            raise OSError(number, "transient failure")
 
     def register(self, descriptor: int, events: int) -> None:
         self.fail_every_other_call()
@@ -123,7 +123,7 @@
             nonlocal left
             if address[1] in ports and left:
                 left -= 1
-                raise BlockingIOError(errno.EAGAIN, "for a moment")
+                raise BlockingIOError(errno.EAGAIN, "transient failure")
             connect(self, address)
 
         monkeypatch.setattr(socket.socket, "connect", put_off)
@@ -178,7 +178,7 @@
         nonlocal left
         left -= 1
         if left > 0:
-            raise OSError(errno.EMFILE, "for a moment")
+            raise OSError(errno.EMFILE, "transient failure")
         return EPOLL()
 
     monkeypatch.setattr(select, "epoll", refused_call)
@@ -197,7 +197,7 @@
 
 
 def fail(number: int) -> None:
-    raise OSError(number, "for a moment")
+    raise OSError(number, "transient failure")
 
 
 REFUSAL_SECONDS = 0.3  # s
@@ -219,7 +219,7 @@
         return poll(self, timeout, most)
 
     def refused_call(self: socket.socket, *args: Any) -> int:
-        raise OSError(errno.ENOBUFS, "for long")
+        raise OSError(errno.ENOBUFS, "persistent failure")
 
     async def count() -> tuple[int, bytes]:
         here, there = socket.socketpair()
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -28,7 +28,7 @@
             nonlocal left
             if left:
                 left -= 1
-                raise OSError(errno_value, "for a moment")
+                raise OSError(errno_value, "transient failure")
             return accept(self)
 
         monkeypatch.setattr(socket.socket, "accept", failing)
@@ -53,7 +53,7 @@
             nonlocal left
             if left and port == prefill_engine.listener.getsockname()[1]:
                 left -= 1
-                raise OSError(errno_value, "for a moment")
+                raise OSError(errno_value, "transient failure")
             return await connect(protocol_factory, host, port, **kwargs)
 
         monkeypatch.setattr(setup.node.loop, "create_connection", failing)
@@ -82,7 +82,7 @@
         """Do nothing."""
 
     def poll(self, timeout: float) -> list[tuple[int, int]]:
-        raise OSError(errno.ENOMEM, "for a moment")
+        raise OSError(errno.ENOMEM, "transient failure")
 
 
 def test_request_is_served_while_poll_fails(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
