--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -76,6 +76,7 @@
         self.router.end_list_update()
 
     def take(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> RequestState:
+        """Have the router accept a request and decide. more: other arguments of Router.accept."""
         fields: dict[str, Any] = dict(
             workload=0,
             tenant=0,
@@ -98,12 +99,14 @@
         closed: bool = False,
         **load: float,
     ) -> None:
+        """End the request's last attempt, and have the router decide. after: s that pass before that."""
         self.now += after
         seq = len(request.attempts) - 1
         request.ended(seq, outcome, after, closed, detail, load)
         self.router.decide()
 
     def first(self, request: RequestState, after: float = 0.1) -> None:
+        """Deliver the first token of the request's last attempt. after: s that pass before that."""
         self.now += after
         request.first_token(len(request.attempts) - 1, after)
         self.router.decide()
@@ -178,12 +181,14 @@
         return timer
 
     def turn(self) -> None:
+        """Run scheduled callbacks until there are none."""
         while self.scheduled:
             calls, self.scheduled = self.scheduled, []
             for call in calls:
                 call()
 
     def pass_time(self, seconds: float) -> None:
+        """Let time pass, running timers when they are due."""
         end = self.now + seconds
         self.turn()
         while due := [t for t in self.timers if not t.cancelled and t.when <= end]:
@@ -339,12 +344,14 @@
         self.loop.turn()
 
     def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[RecordingClient, AcceptedRequest]:
+        """Have the core accept a request. prompt: tokens; timeout: s."""
         client = RecordingClient()
         accepted_request = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
         self.loop.turn()
         return client, accepted_request
 
     def read(self) -> None:
+        """End the last attempt as a successful prefill."""
         attempt = self.link.attempts[-1]
         attempt.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": attempt.name}})
         self.loop.turn()
