--- a/heathford/cli/main.py
+++ b/heathford/cli/main.py
@@ -324,17 +324,17 @@
     seeds: str, seconds: float, fronts: int, report: Path, replay: Path | None, shrinks: bool
 ) -> None:
     """Real front nodes under overlapping troubles; exits 1 if a rule broke."""
-    from heathford.soak.plan import read
-    from heathford.soak.report import play, tell_outcome
-    from heathford.soak.report import soak as soak_seeds
+    from heathford.soak.plan import parse_plan
+    from heathford.soak.report import run_plan, print_outcome
+    from heathford.soak.report import run_seeds as soak_seeds
 
     report.mkdir(parents=True, exist_ok=True)
     # As at an interrupt: the front nodes end with the run. By the event loop's own handler of SIGINT, which
     # waits for a front node that is just being started; raised there, nobody would know of that one.
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     if replay:
-        outcome = play(read(replay.read_text()), fronts, report)
-        tell_outcome(outcome, click.echo)
+        outcome = run_plan(parse_plan(replay.read_text()), fronts, report)
+        print_outcome(outcome, click.echo)
         sys.exit(bool(outcome.breaches))
     numbers: list[int] = []
     for part in seeds.split(","):
--- a/heathford/soak/client.py
+++ b/heathford/soak/client.py
@@ -10,18 +10,18 @@
 
 import orjson
 
-from heathford.soak.engine import LATE_NOTED, STAMP
-from heathford.soak.plan import Kind
-from heathford.soak.records import Record, Seen
+from heathford.soak.engine import LATE_EVENT_THRESHOLD, EVENT_TIMESTAMP
+from heathford.soak.plan import FaultKind
+from heathford.soak.records import Record, RecordKind
 
-Note = Callable[[Record], None]
-STALLED = 5.0  # s without a byte after which a client gives a stream up
-LATEST = 2.0  # s past its budget for which a client waits: what comes then is late
-THINKS = (0.05, 0.5)  # s between two requests, between
-BUDGETS = (0.3, 0.5, 1.0)  # of the deployment's longest deadline
-SIZES = (36, 2_000, 60_000, 250_000)  # bytes of a prompt; a body may have 256 KiB
-CLASSES = ("chat", "booking", "order")
-LEAVE_PART = 0.05  # of requests whose client leaves, without any trouble
+RecordCallback = Callable[[Record], None]
+STALL_TIMEOUT = 5.0  # s without a byte after which a client gives a stream up
+LATE_ANSWER_WAIT = 2.0  # s past its budget for which a client waits: what comes then is late
+THINK_TIMES = (0.05, 0.5)  # s between two requests, between
+BUDGET_FRACTIONS = (0.3, 0.5, 1.0)  # of the deployment's longest deadline
+PROMPT_SIZES = (36, 2_000, 60_000, 250_000)  # bytes of a prompt; a body may have 256 KiB
+REQUEST_CLASSES = ("chat", "booking", "order")
+LEAVE_PROBABILITY = 0.05  # of requests whose client leaves, without any trouble
 
 
 @dataclass
@@ -52,25 +52,30 @@
         self,
         number: int,
         fronts: list[FrontAddress],
-        note: Note,
-        troubles: list[Kind],
+        add_record: RecordCallback,
+        active_faults: list[FaultKind],
         seed: int,
         longest_deadline: float,
     ) -> None:
-        self.number, self.fronts, self.note, self.troubles = number, fronts, note, troubles
-        self.budgets = [int(1000 * part * longest_deadline) for part in BUDGETS]  # ms
+        self.number, self.fronts, self.add_record, self.active_faults = (
+            number,
+            fronts,
+            add_record,
+            active_faults,
+        )
+        self.budgets = [int(1000 * part * longest_deadline) for part in BUDGET_FRACTIONS]  # ms
         self.random = Random(seed * 10_007 + number)
         self.count = 0
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
         self.front = fronts[0]
-        self.served = 0  # answers on this connection
+        self.answers_on_connection = 0  # answers on this connection
 
     async def run(self) -> None:
         while True:
-            await asyncio.sleep(self.random.uniform(*THINKS))
+            await asyncio.sleep(self.random.uniform(*THINK_TIMES))
             with suppress(OSError):
-                if Kind.CLIENTS_BAD in self.troubles and self.random.random() < 0.3:
+                if FaultKind.CLIENTS_BAD in self.active_faults and self.random.random() < 0.3:
                     await self.misbehave()
                 else:
                     await self.ask()
@@ -79,22 +84,22 @@
         """Use the open connection for as long as it stays open, also while its front node ends."""
         if self.writer and self.reader and not self.writer.is_closing() and not self.reader.at_eof():
             return True
-        self.drop()
+        self.disconnect()
         ready = [front for front in self.fronts if front.ready]
         if not ready:
             return False
         self.front = self.random.choice(ready)
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.front.port)
-        self.served = 0
+        self.answers_on_connection = 0
         return True
 
-    def drop(self) -> None:
+    def disconnect(self) -> None:
         if self.writer:
             self.writer.close()
         self.reader = self.writer = None
 
-    def say(self, kind: Seen, name: str, value: float = 0.0, text: str = "") -> None:
-        self.note(Record(monotonic(), kind, self.front.name, name, "", value, text))
+    def record(self, kind: RecordKind, name: str, value: float = 0.0, text: str = "") -> None:
+        self.add_record(Record(monotonic(), kind, self.front.name, name, "", value, text))
 
     async def ask(self) -> None:
         if not await self.connect():
@@ -102,31 +107,31 @@
         assert self.writer and self.reader
         self.count += 1
         name = f"c{self.number}-{self.count}"
-        request_class, budget = self.random.choice(CLASSES), self.random.choice(self.budgets)
-        reused = self.served > 0
+        request_class, budget = self.random.choice(REQUEST_CLASSES), self.random.choice(self.budgets)
+        reused = self.answers_on_connection > 0
         self.writer.write(
-            request_bytes(name, request_class, budget, self.random.choice(SIZES), f"s{self.number}")
+            request_bytes(name, request_class, budget, self.random.choice(PROMPT_SIZES), f"s{self.number}")
         )
-        self.say(Seen.ASKED, name, budget, request_class)
-        leaves = 0.5 if Kind.CLIENTS_LEAVE in self.troubles else LEAVE_PART
+        self.record(RecordKind.ASKED, name, budget, request_class)
+        leaves = 0.5 if FaultKind.CLIENTS_LEAVE in self.active_faults else LEAVE_PROBABILITY
         if self.random.random() < leaves:
             with suppress(TimeoutError):
                 async with asyncio.timeout(self.random.uniform(0.0, 0.3)):
-                    await self.answered(name, reused)
+                    await self.read_answer(name, reused)
                     return
-            self.say(Seen.LEFT, name)
+            self.record(RecordKind.LEFT, name)
             if self.random.random() < 0.5:
                 self.writer.transport.abort()
-            self.drop()
+            self.disconnect()
             return
         try:
-            async with asyncio.timeout(budget / 1000 + LATEST + STALLED):
-                await self.answered(name, reused)
+            async with asyncio.timeout(budget / 1000 + LATE_ANSWER_WAIT + STALL_TIMEOUT):
+                await self.read_answer(name, reused)
         except TimeoutError:
-            self.say(Seen.LOST, name, text="never answered")
-            self.drop()
+            self.record(RecordKind.LOST, name, text="never answered")
+            self.disconnect()
 
-    async def answered(self, name: str, reused: bool) -> None:
+    async def read_answer(self, name: str, reused: bool) -> None:
         assert self.reader
         status = 0
         try:
@@ -136,20 +141,20 @@
                 found = re.search(rb"(?i)content-length: (\d+)", head)
                 await self.reader.readexactly(int(found[1]) if found else 0)
             else:
-                await self.stream(name)
+                await self.read_stream(name)
         except (asyncio.IncompleteReadError, OSError):
             if status == 200:
-                self.say(Seen.CUT, name)
+                self.record(RecordKind.CUT, name)
             else:
-                self.say(Seen.LOST, name, text="reused" if reused else "new")
-            self.drop()
+                self.record(RecordKind.LOST, name, text="reused" if reused else "new")
+            self.disconnect()
             return
-        self.served += 1
-        self.say(Seen.ANSWERED, name, status)
+        self.answers_on_connection += 1
+        self.record(RecordKind.ANSWERED, name, status)
         if b"connection: close" in head.lower():
-            self.drop()
+            self.disconnect()
 
-    async def stream(self, name: str) -> None:
+    async def read_stream(self, name: str) -> None:
         assert self.reader
         whole = b""
         while True:
@@ -158,12 +163,12 @@
             if not size:
                 break
             whole += part
-            for stamp in STAMP.findall(part):
+            for stamp in EVENT_TIMESTAMP.findall(part):
                 late = monotonic() - float(stamp)
-                if late > LATE_NOTED:
-                    self.say(Seen.LATE_EVENT, name, late, stamp.decode())
+                if late > LATE_EVENT_THRESHOLD:
+                    self.record(RecordKind.LATE_EVENT, name, late, stamp.decode())
         if b"[DONE]" not in whole:
-            self.say(Seen.LOG, name, text="a stream ended with its last chunk and was not whole")
+            self.record(RecordKind.LOG, name, text="a stream ended with its last chunk and was not whole")
 
     async def misbehave(self) -> None:
         """On a connection of its own: owed an answer or a close within 3 s, if it stays."""
@@ -185,5 +190,5 @@
                 await reader.read(1)
         waited = monotonic() - began
         if front.ready:
-            self.note(Record(monotonic(), Seen.WAITED, front.name, value=waited))
+            self.add_record(Record(monotonic(), RecordKind.WAITED, front.name, value=waited))
         writer.close()
--- a/heathford/soak/front.py
+++ b/heathford/soak/front.py
@@ -17,35 +17,37 @@
 from heathford.child_signals import send_signal
 from heathford.ports import reserved_port
 from heathford.soak.client import FrontAddress
-from heathford.soak.plan import Kind
-from heathford.soak.records import Record, Seen
+from heathford.soak.plan import FaultKind
+from heathford.soak.records import Record, RecordKind
 from heathford.standin.platform import SECOND
 
-Note = Callable[[Record], None]
-HOOK = Path(__file__).parent / "hook"
-LAST_WORDS = 3  # lines that are no JSON, told of a process that ends unexpectedly
-LONGEST_COUNTED = 3.0  # s of the deployment's longest deadline that count for the kill
-PAST_DEADLINE = 0.7  # s after that, from SIGTERM, at which SIGKILL comes at the earliest
-NEW_CONNECTIONS = 0.3  # s from SIGTERM for which clients still open new ones
-HELD_UP = 0.15  # s for which a process may be held up, as the users state
-WITHIN_MILLISECONDS = 0.002  # s between two signals of a series
-ENDINGS = (Kind.TERMINATE, Kind.KILL, Kind.SIGNAL_SERIES, Kind.STOP_AMID_END)
-INTERPRETER_STARTS = 5.0  # s: a signal before the program's first line ends the process; the pages exclude it
-RELOADED_AFTER = 1.0  # s from a start, and ready: the pages send no SIGHUP before
-RELOAD_LOOK = 0.02  # s between two looks at that
-WRONG = ("error", "critical")
-EXPECTED = ("configuration not taken",)
-STEPS = (5.0, -5.0, 3_600.0, -3_600.0)  # s by which the wall clock steps
-SHIMMED = frozenset(
+RecordCallback = Callable[[Record], None]
+HOOK_FOLDER = Path(__file__).parent / "hook"
+KEPT_OUTPUT_LINES = 3  # lines that are no JSON, told of a process that ends unexpectedly
+MAX_COUNTED_DEADLINE = 3.0  # s of the deployment's longest deadline that count for the kill
+KILL_MARGIN = 0.7  # s after that, from SIGTERM, at which SIGKILL comes at the earliest
+NEW_CONNECTIONS_PERIOD = 0.3  # s from SIGTERM for which clients still open new ones
+STALL_ALLOWANCE = 0.15  # s for which a process may be held up, as the users state
+SIGNAL_SPACING = 0.002  # s between two signals of a series
+RESTART_FAULTS = (FaultKind.TERMINATE, FaultKind.KILL, FaultKind.SIGNAL_SERIES, FaultKind.STOP_AMID_END)
+INTERPRETER_START_TIME = (
+    5.0  # s: a signal before the program's first line ends the process; the pages exclude it
+)
+MIN_RELOAD_DELAY = 1.0  # s from a start, and ready: the pages send no SIGHUP before
+RELOAD_POLL_INTERVAL = 0.02  # s between two looks at that
+REPORTED_LEVELS = ("error", "critical")
+EXPECTED_ERRORS = ("configuration not taken",)
+CLOCK_STEPS = (5.0, -5.0, 3_600.0, -3_600.0)  # s by which the wall clock steps
+SHIM_FAULTS = frozenset(
     {
-        Kind.CLOCK,
-        Kind.ACCEPT_FAILS,
-        Kind.CONNECT_FAILS,
-        Kind.SEND_SHORT,
-        Kind.RECV_SHORT,
-        Kind.LINK_BREAKS,
-        Kind.LOG_FAILS,
-        Kind.LOOKS_FAIL,
+        FaultKind.CLOCK,
+        FaultKind.ACCEPT_FAILS,
+        FaultKind.CONNECT_FAILS,
+        FaultKind.SEND_SHORT,
+        FaultKind.RECV_SHORT,
+        FaultKind.LINK_BREAKS,
+        FaultKind.LOG_FAILS,
+        FaultKind.LOOKS_FAIL,
     }
 )
 
@@ -58,31 +60,31 @@
         name: str,
         folder: Path,
         settings: dict[str, Any],
-        discoveries: list[str],
+        discovery_addresses: list[str],
         shims: list[tuple[str, float, float, float]],
-        note: Note,
+        add_record: RecordCallback,
     ) -> None:
-        self.name, self.folder, self.settings, self.note = name, folder, settings, note
-        self.discoveries, self.shims = discoveries, shims
+        self.name, self.folder, self.settings, self.add_record = name, folder, settings, add_record
+        self.discovery_addresses, self.shims = discovery_addresses, shims
         longest = max(category["deadlineNs"] for category in settings["categories"]) / SECOND
-        self.to_the_kill = min(longest, LONGEST_COUNTED) + PAST_DEADLINE
-        self.reserved = reserved_port()
-        self.address = FrontAddress(name, self.reserved.getsockname()[1])
-        self.last_words: deque[str] = deque(maxlen=LAST_WORDS)
+        self.kill_delay = min(longest, MAX_COUNTED_DEADLINE) + KILL_MARGIN
+        self.reserved_socket = reserved_port()
+        self.address = FrontAddress(name, self.reserved_socket.getsockname()[1])
+        self.last_output_lines: deque[str] = deque(maxlen=KEPT_OUTPUT_LINES)
         self.path = folder / f"{name}.json"
         self.process: asyncio.subprocess.Process | None = None
-        self.reading: asyncio.Task[None] | None = None
-        self.ends = False  # it was told to end, or killed
-        self.over = False  # the run is
-        self.violations_told = 0  # by this process, a line each
-        self.busy = asyncio.Lock()
+        self.log_task: asyncio.Task[None] | None = None
+        self.is_ending = False  # it was told to end, or killed
+        self.run_ended = False  # the run is
+        self.logged_violations = 0  # by this process, a line each
+        self.restart_lock = asyncio.Lock()
         self.started_at = self.ready_at = inf  # s on the machine's clock, of the present process
 
     def configure(self) -> None:
         self.path.write_bytes(
             orjson.dumps(
                 {
-                    "discovery": self.discoveries[0],
+                    "discovery": self.discovery_addresses[0],
                     "limits": {"sockets": 400},
                     "seed": 1,
                     "settings": self.settings,
@@ -91,9 +93,9 @@
         )
 
     async def start(self) -> None:
-        self.ends = False
-        self.violations_told = 0
-        self.last_words.clear()
+        self.is_ending = False
+        self.logged_violations = 0
+        self.last_output_lines.clear()
         self.started_at, self.ready_at = monotonic(), inf
         self.configure()
         self.process = await asyncio.create_subprocess_exec(
@@ -108,13 +110,13 @@
                 **os.environ,
                 "NODE_NAME": self.name,
                 "NODE_LISTEN": f"127.0.0.1:{self.address.port}",
-                "NODE_DISCOVERY": self.discoveries[0],
+                "NODE_DISCOVERY": self.discovery_addresses[0],
                 "NODE_CONFIG": str(self.path),
-                "PYTHONPATH": f"{HOOK}:{os.environ.get('PYTHONPATH', '')}",
+                "PYTHONPATH": f"{HOOK_FOLDER}:{os.environ.get('PYTHONPATH', '')}",
                 "SOAK_SHIMS": orjson.dumps(self.shims).decode(),
             },
         )
-        self.reading = asyncio.create_task(self.read_log(self.process))
+        self.log_task = asyncio.create_task(self.read_log(self.process))
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
@@ -122,102 +124,106 @@
         with (self.folder / f"{self.name}.log").open("ab", buffering=0) as log:
             while line := await process.stderr.readline():
                 log.write(line)
-                self.heed(line)
+                self.check_log_line(line)
         status = await process.wait()
         self.address.ready = False
-        if not self.over:
-            early = status == -signal.SIGTERM and monotonic() - began < INTERPRETER_STARTS
-            expected = self.ends and (status in (0, -signal.SIGKILL) or early)
-            self.say(Seen.EXIT, status, "" if expected else f"unexpected: {' / '.join(self.last_words)}")
+        if not self.run_ended:
+            early = status == -signal.SIGTERM and monotonic() - began < INTERPRETER_START_TIME
+            expected = self.is_ending and (status in (0, -signal.SIGKILL) or early)
+            self.record(
+                RecordKind.EXIT,
+                status,
+                "" if expected else f"unexpected: {' / '.join(self.last_output_lines)}",
+            )
 
-    def heed(self, line: bytes) -> None:
+    def check_log_line(self, line: bytes) -> None:
         try:
             said = orjson.loads(line)
         except orjson.JSONDecodeError:
-            self.last_words.append(line.decode(errors="replace").strip())
+            self.last_output_lines.append(line.decode(errors="replace").strip())
             if b"Traceback" in line or b"Error" in line:
-                self.say(Seen.LOG, text=line.decode(errors="replace").strip())
+                self.record(RecordKind.LOG, text=line.decode(errors="replace").strip())
             return
         if said.get("event") == "ready":
             self.address.ready = True
             self.ready_at = monotonic()
         if said.get("event") == "rule violated":
-            self.violations_told += 1
+            self.logged_violations += 1
         counted = sum(said.get("violations", {}).values()) if said.get("event") == "state" else 0
-        if counted > self.violations_told:
-            self.violations_told = counted
-            self.say(Seen.LOG, text=f"violations counted, and not all told: {said['violations']}")
-        if said.get("level") in WRONG and said.get("event") not in EXPECTED:
-            self.say(Seen.LOG, text=line.decode()[:2_000].strip())
+        if counted > self.logged_violations:
+            self.logged_violations = counted
+            self.record(RecordKind.LOG, text=f"violations counted, and not all told: {said['violations']}")
+        if said.get("level") in REPORTED_LEVELS and said.get("event") not in EXPECTED_ERRORS:
+            self.record(RecordKind.LOG, text=line.decode()[:2_000].strip())
 
-    def say(self, kind: Seen, value: float = 0.0, text: str = "") -> None:
-        self.note(Record(monotonic(), kind, self.name, "", "", value, text))
+    def record(self, kind: RecordKind, value: float = 0.0, text: str = "") -> None:
+        self.add_record(Record(monotonic(), kind, self.name, "", "", value, text))
 
     def send(self, number: signal.Signals) -> None:
         if self.process:
             send_signal(self.process, number)
 
-    def may_be_reloaded(self) -> bool:
+    def can_reload(self) -> bool:
         """The pages: SIGHUP comes never in a process's first second, nor before it is ready."""
-        return monotonic() >= max(self.started_at + RELOADED_AFTER, self.ready_at)
+        return monotonic() >= max(self.started_at + MIN_RELOAD_DELAY, self.ready_at)
 
-    async def suffer(self, kind: Kind, seconds: float) -> None:
+    async def inject(self, kind: FaultKind, seconds: float) -> None:
         """A trouble of this process itself."""
-        if kind in (Kind.STOP_SHORT, Kind.STOP_LONG):
+        if kind in (FaultKind.STOP_SHORT, FaultKind.STOP_LONG):
             self.send(signal.SIGSTOP)
-            await asyncio.sleep(min(seconds, 0.15) if kind is Kind.STOP_SHORT else seconds)
+            await asyncio.sleep(min(seconds, 0.15) if kind is FaultKind.STOP_SHORT else seconds)
             self.send(signal.SIGCONT)
-        elif kind is Kind.RELOAD:
-            while not self.may_be_reloaded():
-                await asyncio.sleep(RELOAD_LOOK)
-            self.discoveries.reverse()
+        elif kind is FaultKind.RELOAD:
+            while not self.can_reload():
+                await asyncio.sleep(RELOAD_POLL_INTERVAL)
+            self.discovery_addresses.reverse()
             self.configure()
             self.send(signal.SIGHUP)
             await asyncio.sleep(0.01)
-            if self.may_be_reloaded():  # it may have been started anew since
+            if self.can_reload():  # it may have been started anew since
                 self.send(signal.SIGHUP)
-        elif kind in ENDINGS:
-            async with self.busy:
+        elif kind in RESTART_FAULTS:
+            async with self.restart_lock:
                 await self.restart(kind)
 
-    async def restart(self, kind: Kind) -> None:
+    async def restart(self, kind: FaultKind) -> None:
         process = self.process
-        if process is None or process.returncode is not None or self.over:
+        if process is None or process.returncode is not None or self.run_ended:
             return
-        self.ends = True
-        if kind is not Kind.KILL:
+        self.is_ending = True
+        if kind is not FaultKind.KILL:
             told_at = monotonic()
-            await self.tell_to_end(kind)
-            await asyncio.sleep(told_at + NEW_CONNECTIONS - monotonic())
+            await self.terminate(kind)
+            await asyncio.sleep(told_at + NEW_CONNECTIONS_PERIOD - monotonic())
             self.address.ready = False
             with suppress(TimeoutError):
-                async with asyncio.timeout(told_at + self.to_the_kill - monotonic()):
+                async with asyncio.timeout(told_at + self.kill_delay - monotonic()):
                     await process.wait()
         self.address.ready = False
         self.send(signal.SIGCONT)
         send_signal(process, signal.SIGKILL)
-        if self.reading:
-            await asyncio.wait({self.reading})  # a cancelled wait does not cancel what reads the log
-        if not self.over:
+        if self.log_task:
+            await asyncio.wait({self.log_task})  # a cancelled wait does not cancel what reads the log
+        if not self.run_ended:
             await self.start()
 
-    async def tell_to_end(self, kind: Kind) -> None:
+    async def terminate(self, kind: FaultKind) -> None:
         """SIGTERM, alone or amid other signals."""
-        reloaded = kind is Kind.SIGNAL_SERIES and self.may_be_reloaded()
+        reloaded = kind is FaultKind.SIGNAL_SERIES and self.can_reload()
         if reloaded:
-            self.discoveries.reverse()
+            self.discovery_addresses.reverse()
             self.configure()
             self.send(signal.SIGHUP)
-            await asyncio.sleep(WITHIN_MILLISECONDS)
-        elif kind is Kind.STOP_AMID_END:
+            await asyncio.sleep(SIGNAL_SPACING)
+        elif kind is FaultKind.STOP_AMID_END:
             self.send(signal.SIGSTOP)
-        self.say(Seen.ENDING)
+        self.record(RecordKind.ENDING)
         self.send(signal.SIGTERM)
         if reloaded:
-            await asyncio.sleep(WITHIN_MILLISECONDS)
+            await asyncio.sleep(SIGNAL_SPACING)
             self.send(signal.SIGHUP)
-        elif kind is Kind.STOP_AMID_END:
-            await asyncio.sleep(HELD_UP)
+        elif kind is FaultKind.STOP_AMID_END:
+            await asyncio.sleep(STALL_ALLOWANCE)
             self.send(signal.SIGCONT)
 
     def measure(self) -> None:
@@ -229,12 +235,12 @@
             memory = next(
                 line for line in (place / "status").read_text().splitlines() if line.startswith("VmRSS")
             )
-            self.say(Seen.MEASURE, descriptors, memory.split()[1])
+            self.record(RecordKind.MEASURE, descriptors, memory.split()[1])
 
     async def stop(self) -> None:
-        self.over = self.ends = True
+        self.run_ended = self.is_ending = True
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
-        if self.reading:
-            await asyncio.wait({self.reading})
-        self.reserved.close()
+        if self.log_task:
+            await asyncio.wait({self.log_task})
+        self.reserved_socket.close()
--- a/heathford/soak/plan.py
+++ b/heathford/soak/plan.py
@@ -7,18 +7,18 @@
 from itertools import combinations
 from random import Random
 
-TOUCH = 0.1  # s from a step of one trouble to the beginning of the next
-QUIET = 1.0  # s at the beginning and the end of a run without trouble
-WINDOWS = (0.9, 1.5)  # s for which a keyed repeat is known, drawn for each run: silences outlast both
-DEADLINES = (0.4, 1.0, 3.0)  # s: the longest of the deployment, drawn for each run
-SILENCES_DRAWN = 4  # times as often as other kinds, in every second run: one trouble on many requests
-TIMES_SILENT = 3  # times that the engines of a role fall silent together
-BETWEEN_SILENT = 0.6  # s between two of these
-STOPS_IN_STEPS = 3  # front nodes held up while a link is read in steps
-STOP_SECONDS = (0.05, 0.15)  # s of these, between
-
-
-class Kind(Enum):
+ADJACENCY_GAP = 0.1  # s from a step of one trouble to the beginning of the next
+FAULT_FREE_MARGIN = 1.0  # s at the beginning and the end of a run without trouble
+KEY_TTLS = (0.9, 1.5)  # s for which a keyed repeat is known, drawn for each run: silences outlast both
+LONGEST_DEADLINES = (0.4, 1.0, 3.0)  # s: the longest of the deployment, drawn for each run
+SILENCE_WEIGHT = 4  # times as often as other kinds, in every second run: one trouble on many requests
+ROLE_SILENCE_REPEATS = 3  # times that the engines of a role fall silent together
+ROLE_SILENCE_GAP = 0.6  # s between two of these
+STOPS_PER_STEPPED_LINK = 3  # front nodes held up while a link is read in steps
+STOP_DURATIONS = (0.05, 0.15)  # s of these, between
+
+
+class FaultKind(Enum):
     """Troubles. What they strike: a front node, an engine, its link, or a front node's discovery."""
 
     TERMINATE = "front: SIGTERM, SIGKILL later, start anew"
@@ -60,10 +60,10 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
+class Fault:
     """One trouble. at and seconds from the start of the run; target: a number, taken modulo what there is."""
 
-    kind: Kind
+    kind: FaultKind
     target: int
     at: float
     seconds: float
@@ -76,106 +76,112 @@
 
     seed: int
     seconds: float
-    troubles: tuple[Trouble, ...]
+    faults: tuple[Fault, ...]
     longest_deadline: float = 3.0
-    window: float = 1.5
+    key_ttl: float = 1.5
 
-    def printed(self) -> str:
+    def to_json(self) -> str:
         """As JSON, read back by `read`."""
-        rows = [{**asdict(trouble), "kind": trouble.kind.name} for trouble in self.troubles]
+        rows = [{**asdict(fault), "kind": fault.kind.name} for fault in self.faults]
         said = {
             "seed": self.seed,
             "seconds": self.seconds,
             "longest_deadline": self.longest_deadline,
-            "window": self.window,
+            "window": self.key_ttl,
         }
         return json.dumps({**said, "troubles": rows}, indent=1)
 
     @property
-    def pairs(self) -> set[frozenset[Kind]]:
+    def overlapping_kinds(self) -> set[frozenset[FaultKind]]:
         """Kinds that overlap, or touch, in this plan."""
         found = set()
-        for one, other in combinations(self.troubles, 2):
-            first, second = sorted((one, other), key=lambda trouble: trouble.at)
-            if second.at <= first.at + first.seconds + TOUCH:
+        for one, other in combinations(self.faults, 2):
+            first, second = sorted((one, other), key=lambda fault: fault.at)
+            if second.at <= first.at + first.seconds + ADJACENCY_GAP:
                 found.add(frozenset({first.kind, second.kind}))
         return found
 
 
-def read(text: str) -> Plan:
+def parse_plan(text: str) -> Plan:
     """A plan as `Plan.printed` wrote it. Raises ValueError or KeyError."""
     said = json.loads(text)
     return Plan(
         said["seed"],
         said["seconds"],
         tuple(
-            Trouble(Kind[row["kind"]], row["target"], row["at"], row["seconds"]) for row in said["troubles"]
+            Fault(FaultKind[row["kind"]], row["target"], row["at"], row["seconds"])
+            for row in said["troubles"]
         ),
         said.get("longest_deadline", 3.0),
         said.get("window", 1.5),
     )
 
 
-SILENCES = (Kind.LINK_SILENT, Kind.ENGINE_STOPPED, Kind.ROLE_SILENT, Kind.LINK_UNREAD)
+SILENCE_FAULTS = (
+    FaultKind.LINK_SILENT,
+    FaultKind.ENGINE_STOPPED,
+    FaultKind.ROLE_SILENT,
+    FaultKind.LINK_UNREAD,
+)
 
 
-def draw(seed: int, seconds: float) -> Plan:
+def draw_plan(seed: int, seconds: float) -> Plan:
     """Groups of two or three troubles that touch: each begins within TOUCH of a step of an earlier one."""
     random = Random(seed)
-    longest_deadline, window = random.choice(DEADLINES), random.choice(WINDOWS)
-    kinds = list(Kind) + (SILENCES_DRAWN - 1) * list(SILENCES) * random.choice((0, 1))
-    troubles: list[Trouble] = []
-    at = QUIET
-    while at < seconds - QUIET:
+    longest_deadline, key_ttl = random.choice(LONGEST_DEADLINES), random.choice(KEY_TTLS)
+    kinds = list(FaultKind) + (SILENCE_WEIGHT - 1) * list(SILENCE_FAULTS) * random.choice((0, 1))
+    faults: list[Fault] = []
+    at = FAULT_FREE_MARGIN
+    while at < seconds - FAULT_FREE_MARGIN:
         steps = [at]
         for _ in range(random.choice((2, 3, 3))):
-            begin = max(QUIET, random.choice(steps) + random.uniform(-TOUCH, TOUCH))
-            trouble = Trouble(
+            begin = max(
+                FAULT_FREE_MARGIN, random.choice(steps) + random.uniform(-ADJACENCY_GAP, ADJACENCY_GAP)
+            )
+            fault = Fault(
                 random.choice(kinds),
                 random.randrange(1_000),
                 round(begin, 3),
                 round(random.choice((0.15, 0.4, 1.0, 2.5)) * random.uniform(0.8, 1.2), 3),
             )
-            troubles += repeated(trouble)
-            if trouble.kind is Kind.LINK_STEPS:
-                troubles += stops_beside(trouble, random)
-            steps += [trouble.at, trouble.at + trouble.seconds]
+            faults += repeat_role_silence(fault)
+            if fault.kind is FaultKind.LINK_STEPS:
+                faults += draw_stops_during(fault, random)
+            steps += [fault.at, fault.at + fault.seconds]
         at += random.uniform(0.7, 1.6)
-    in_time = [trouble for trouble in troubles if trouble.at < seconds]
-    return Plan(
-        seed, seconds, tuple(sorted(in_time, key=lambda trouble: trouble.at)), longest_deadline, window
-    )
+    in_time = [fault for fault in faults if fault.at < seconds]
+    return Plan(seed, seconds, tuple(sorted(in_time, key=lambda fault: fault.at)), longest_deadline, key_ttl)
 
 
-def repeated(trouble: Trouble) -> list[Trouble]:
+def repeat_role_silence(fault: Fault) -> list[Fault]:
     """A role that falls silent does so several times; all else comes once."""
-    times = TIMES_SILENT if trouble.kind is Kind.ROLE_SILENT else 1
-    apart = trouble.seconds + BETWEEN_SILENT
-    return [replace(trouble, at=round(trouble.at + number * apart, 3)) for number in range(times)]
+    times = ROLE_SILENCE_REPEATS if fault.kind is FaultKind.ROLE_SILENT else 1
+    apart = fault.seconds + ROLE_SILENCE_GAP
+    return [replace(fault, at=round(fault.at + number * apart, 3)) for number in range(times)]
 
 
-def stops_beside(trouble: Trouble, random: Random) -> list[Trouble]:
+def draw_stops_during(fault: Fault, random: Random) -> list[Fault]:
     """Front nodes that are held up while a link reads on."""
     return [
-        Trouble(
-            Kind.STOP_SHORT,
+        Fault(
+            FaultKind.STOP_SHORT,
             random.randrange(1_000),
-            round(trouble.at + random.uniform(0.0, trouble.seconds), 3),
-            round(random.uniform(*STOP_SECONDS), 3),
+            round(fault.at + random.uniform(0.0, fault.seconds), 3),
+            round(random.uniform(*STOP_DURATIONS), 3),
         )
-        for _ in range(STOPS_IN_STEPS)
+        for _ in range(STOPS_PER_STEPPED_LINK)
     ]
 
 
-def shrink(plan: Plan, fails: Callable[[Plan], bool], tries: int) -> Plan:
+def shrink(plan: Plan, fails: Callable[[Plan], bool], max_runs: int) -> Plan:
     """Drop troubles one after the other for as long as it still fails, with so many runs at most."""
-    troubles: Sequence[Trouble] = plan.troubles
+    faults: Sequence[Fault] = plan.faults
     place = 0
-    while place < len(troubles) and tries > 0:
-        fewer = replace(plan, troubles=(*troubles[:place], *troubles[place + 1 :]))
-        tries -= 1
+    while place < len(faults) and max_runs > 0:
+        fewer = replace(plan, faults=(*faults[:place], *faults[place + 1 :]))
+        max_runs -= 1
         if fails(fewer):
-            troubles = fewer.troubles
+            faults = fewer.faults
         else:
             place += 1
-    return replace(plan, troubles=tuple(troubles))
+    return replace(plan, faults=tuple(faults))
--- a/heathford/soak/records.py
+++ b/heathford/soak/records.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 
-class Seen(Enum):
+class RecordKind(Enum):
     """Kinds of record. What a front node sends to an engine is noted before any trouble of the link."""
 
     ASKED = "a client's request was written whole"
@@ -37,7 +37,7 @@
     """time in s. value: by kind, a status, seconds, a budget in ms or a count; text: by kind, more words."""
 
     time: float
-    kind: Seen
+    kind: RecordKind
     front: str = ""
     request: str = ""
     engine: str = ""
--- a/heathford/soak/report.py
+++ b/heathford/soak/report.py
@@ -10,13 +10,13 @@
 import orjson
 
 from heathford.soak.oracle import Breach, Limits, Oracle
-from heathford.soak.plan import Kind, Plan, draw, shrink
-from heathford.soak.records import Record, Seen
-from heathford.soak.run import World
+from heathford.soak.plan import FaultKind, Plan, draw_plan, shrink
+from heathford.soak.records import Record, RecordKind
+from heathford.soak.run import SoakRun
 
 SHRINK_TRIES = 12
 
-Tell = Callable[[str], None]
+PrintLine = Callable[[str], None]
 
 
 @dataclass
@@ -29,11 +29,11 @@
     answers: Counter[int]
     lost: int
     cut: int
-    crossed: int
+    resent: int
     lag: float
 
 
-def judged(plan: Plan, records: Iterable[Record], limits: Limits) -> Outcome:
+def judge_records(plan: Plan, records: Iterable[Record], limits: Limits) -> Outcome:
     records = list(records)
     oracle = Oracle(records, limits)
     breaches = oracle.judge()
@@ -41,18 +41,18 @@
     return Outcome(
         plan,
         breaches,
-        counts[Seen.ASKED],
-        Counter(int(record.value) for record in records if record.kind is Seen.ANSWERED),
-        counts[Seen.LOST],
-        counts[Seen.CUT],
-        oracle.crossed,
-        max((record.value for record in records if record.kind is Seen.LAG), default=0.0),
+        counts[RecordKind.ASKED],
+        Counter(int(record.value) for record in records if record.kind is RecordKind.ANSWERED),
+        counts[RecordKind.LOST],
+        counts[RecordKind.CUT],
+        oracle.resent,
+        max((record.value for record in records if record.kind is RecordKind.LAG), default=0.0),
     )
 
 
-def play(plan: Plan, fronts: int, folder: Path) -> Outcome:
+def run_plan(plan: Plan, fronts: int, folder: Path) -> Outcome:
     """Run a plan and judge it; the records and the front nodes' logs stay in the folder."""
-    world = World(plan, fronts, folder)
+    world = SoakRun(plan, fronts, folder)
     records = asyncio.run(world.run())
     with (folder / "records.jsonl").open("wb") as out:
         for record in records:
@@ -70,58 +70,60 @@
                 )
                 + b"\n"
             )
-    (folder / "plan.json").write_text(plan.printed())
-    return judged(plan, records, world.limits)
+    (folder / "plan.json").write_text(plan.to_json())
+    return judge_records(plan, records, world.limits)
 
 
-def tell_outcome(outcome: Outcome, tell: Tell) -> None:
+def print_outcome(outcome: Outcome, print_line: PrintLine) -> None:
     plan = outcome.plan
     answers = ", ".join(f"{status}: {count}" for status, count in sorted(outcome.answers.items()))
-    tell(
+    print_line(
         f"seed {plan.seed}: {outcome.asked} asked ({answers}; lost {outcome.lost}, cut {outcome.cut}, "
-        f"crossed {outcome.crossed}), {len(plan.troubles)} troubles, own lag {outcome.lag:.3f} s, "
+        f"crossed {outcome.resent}), {len(plan.faults)} troubles, own lag {outcome.lag:.3f} s, "
         f"{len(outcome.breaches)} breaches"
     )
     for rule, count in Counter(breach.rule for breach in outcome.breaches).items():
         first = next(breach for breach in outcome.breaches if breach.rule == rule)
-        tell(f"  {count} x {rule}: at {first.time:.3f} {first.request}: {first.what}")
+        print_line(f"  {count} x {rule}: at {first.time:.3f} {first.request}: {first.detail}")
 
 
-def never_met(plans: Iterable[Plan]) -> list[str]:
+def find_unmet_pairs(plans: Iterable[Plan]) -> list[str]:
     """Pairs of troubles that touched in none of the plans."""
-    met = set().union(*(plan.pairs for plan in plans))
+    met = set().union(*(plan.overlapping_kinds for plan in plans))
     return [
         f"{one.name}+{other.name}"
-        for one, other in combinations(Kind, 2)
+        for one, other in combinations(FaultKind, 2)
         if frozenset({one, other}) not in met
     ]
 
 
-def soak(seeds: Iterable[int], seconds: float, fronts: int, report: Path, shrinks: bool, tell: Tell) -> int:
+def run_seeds(
+    seeds: Iterable[int], seconds: float, fronts: int, report: Path, shrinks: bool, print_line: PrintLine
+) -> int:
     """Play all seeds; the number of those with a breach."""
     plans, failed = [], 0
     for seed in seeds:
-        plan = draw(seed, seconds)
+        plan = draw_plan(seed, seconds)
         plans.append(plan)
-        outcome = play(plan, fronts, report / f"seed-{seed}")
-        tell_outcome(outcome, tell)
+        outcome = run_plan(plan, fronts, report / f"seed-{seed}")
+        print_outcome(outcome, print_line)
         failed += bool(outcome.breaches)
         if outcome.breaches and shrinks:
-            tell_shrunk(plan, outcome, fronts, report / f"shrunk-{seed}", tell)
-    missing = never_met(plans)
-    pairs = len(list(combinations(Kind, 2)))
-    tell(
+            print_shrunk(plan, outcome, fronts, report / f"shrunk-{seed}", print_line)
+    missing = find_unmet_pairs(plans)
+    pairs = len(list(combinations(FaultKind, 2)))
+    print_line(
         f"{len(plans)} seeds, {failed} with a breach; {pairs - len(missing)} of {pairs} pairs of troubles met"
     )
     (report / "never-met.txt").write_text("\n".join(missing) + "\n")
     return failed
 
 
-def tell_shrunk(plan: Plan, outcome: Outcome, fronts: int, folder: Path, tell: Tell) -> None:
+def print_shrunk(plan: Plan, outcome: Outcome, fronts: int, folder: Path, print_line: PrintLine) -> None:
     rules = {breach.rule for breach in outcome.breaches}
 
     def fails(fewer: Plan) -> bool:
-        return bool(rules & {breach.rule for breach in play(fewer, fronts, folder).breaches})
+        return bool(rules & {breach.rule for breach in run_plan(fewer, fronts, folder).breaches})
 
     small = shrink(plan, fails, SHRINK_TRIES)
-    tell(f"  still fails with {len(small.troubles)} of {len(plan.troubles)} troubles:\n{small.printed()}")
+    print_line(f"  still fails with {len(small.faults)} of {len(plan.faults)} troubles:\n{small.to_json()}")
--- /dev/null
+++ b/heathford/soak/request_history.py
@@ -0,0 +1,126 @@
+"""What was seen of each request and of its attempts, put together from the records of a run."""
+
+from collections import defaultdict
+from collections.abc import Iterable
+from dataclasses import dataclass, field
+from enum import Enum
+from math import inf
+
+from heathford.soak.records import Record, RecordKind
+
+NOT_RUN_OUTCOMES = ("full", "gone")  # what an engine says of an attempt that it has not begun
+
+
+@dataclass
+class Attempt:
+    """One attempt as the sockets saw it. told: s that its engine was told; outcome: what that said."""
+
+    engine: str
+    first_byte_at: float
+    last_byte_at: float = inf
+    sent_budget: float = 0.0
+    delivered_at: float = inf
+    is_prefill: bool = False
+    outcome: str = ""
+    answered_at: float = inf
+    closed_at: float = inf
+    passed_on_at: float = inf  # when its answer had passed its link whole
+
+    @property
+    def has_run(self) -> bool:
+        return self.delivered_at < inf and not self.is_prefill and self.outcome not in NOT_RUN_OUTCOMES
+
+    @property
+    def ended_at(self) -> float:
+        return min(self.answered_at, self.closed_at)
+
+    def add(self, record: Record) -> None:
+        if record.kind is RecordKind.LAST_BYTE:
+            self.last_byte_at, self.sent_budget = record.time, record.value / 1000
+        elif record.kind is RecordKind.DELIVERED:
+            self.delivered_at, self.is_prefill = record.time, record.text == "prefill"
+        elif record.kind is RecordKind.ENGINE_SAID:
+            self.outcome, self.answered_at = record.text, record.time
+        elif record.kind is RecordKind.PASSED_ON:
+            self.passed_on_at = record.time
+        elif record.kind is RecordKind.GIVEN_UP:
+            self.closed_at = min(self.closed_at, record.time)
+
+
+@dataclass
+class RequestHistory:
+    """All that was seen of one request."""
+
+    asked_at: float = inf
+    budget: float = 0.0
+    request_class: str = ""
+    front: str = ""
+    left_at: float = inf
+    answers: list[Record] = field(default_factory=list)
+    lost: list[Record] = field(default_factory=list)
+    cuts: list[Record] = field(default_factory=list)
+    attempts: list[Attempt] = field(default_factory=list)
+    releases: list[float] = field(default_factory=list)
+
+    def find_attempt(self, record: Record) -> Attempt | None:
+        """The latest at that engine of which this may be told: one that was given up may be read later."""
+        at_engine = [attempt for attempt in reversed(self.attempts) if attempt.engine == record.engine]
+        if record.kind is RecordKind.DELIVERED:
+            candidates = [attempt for attempt in at_engine if attempt.delivered_at == inf]
+        elif record.kind is RecordKind.ENGINE_SAID:
+            candidates = [
+                attempt for attempt in at_engine if attempt.delivered_at < inf and not attempt.outcome
+            ]
+        elif record.kind is RecordKind.GIVEN_UP:  # one attempt after another: the earlier one is closed first
+            candidates = [a for a in reversed(at_engine) if a.closed_at == inf and not a.outcome]
+        else:
+            candidates = at_engine
+        return next(iter(candidates or at_engine), None)
+
+    def add(self, record: Record) -> None:
+        kind = record.kind
+        if kind is RecordKind.ASKED:
+            self.asked_at, self.budget = record.time, record.value / 1000
+            self.request_class, self.front = record.text, record.front
+        elif kind is RecordKind.LEFT:
+            self.left_at = record.time
+        elif kind is RecordKind.ANSWERED:
+            self.answers.append(record)
+        elif kind is RecordKind.LOST:
+            self.lost.append(record)
+        elif kind is RecordKind.CUT:
+            self.cuts.append(record)
+        elif kind is RecordKind.FIRST_BYTE:
+            self.attempts.append(Attempt(record.engine, record.time))
+        elif kind is RecordKind.RELEASED:
+            self.releases.append(record.time)
+        elif attempt := self.find_attempt(record):
+            attempt.add(record)
+
+
+class StateStatus(Enum):
+    """What becomes of a state that prefill left."""
+
+    FREE = "used or released"
+    HELD = "held, no attempt that has arrived is out"
+    IN_FLIGHT = "an attempt is out that takes it up"
+    ATTEMPT_ENDED = "that attempt has ended without"
+
+
+@dataclass(frozen=True)
+class StateChange:
+    """since: s from which the limit counts, if it is held from then on; released: by a release."""
+
+    time: float
+    status: StateStatus
+    counted_from: float
+    released: bool = False
+
+
+def build_histories(records: Iterable[Record]) -> dict[str, RequestHistory]:
+    """By request; the records in the order of time."""
+    histories: dict[str, RequestHistory] = defaultdict(RequestHistory)
+    for record in records:
+        if record.request:
+            histories[record.request].add(record)
+    return histories
--- a/heathford/soak/run.py
+++ b/heathford/soak/run.py
@@ -11,40 +11,40 @@
 from typing import Any
 
 from heathford.soak.client import SoakClient
-from heathford.soak.engine import EngineLink, SoakEngine
-from heathford.soak.front import SHIMMED, STEPS, FrontProcess
+from heathford.soak.engine import EngineConnectionObserver, SoakEngine
+from heathford.soak.front import SHIM_FAULTS, CLOCK_STEPS, FrontProcess
 from heathford.soak.oracle import Limits
-from heathford.soak.plan import Kind, Plan, Trouble
-from heathford.soak.records import Record, Seen
-from heathford.soak.relay import Relay, Watcher
+from heathford.soak.plan import FaultKind, Plan, Fault
+from heathford.soak.records import Record, RecordKind
+from heathford.soak.relay import Relay, ConnectionObserver
 from heathford.standin.platform import SECOND, Agent, settings
 
-ENGINES = 10  # half of them prefill, in two zones
-CLIENTS_EACH = 4  # for each front node
-GRACE = 0.5  # s after which nothing new may go to an engine that drains
-DRAINED_FOR = 1.5  # s from a drain to the engine's end and the next one's start
-CAPACITY = 8.0  # requests a second of a warm engine
-MEASURE_EVERY = 2.0  # s
-LAG_EVERY = 0.05  # s
-LAG_TOLD = 0.02  # s
-READY_WITHIN = 30.0  # s
-ENGINE_TROUBLES = (Kind.ENGINE_ERRORS, Kind.ENGINE_FULL, Kind.ENGINE_HANGS)
-FRONT_TROUBLES = frozenset(
+ENGINE_COUNT = 10  # half of them prefill, in two zones
+CLIENTS_PER_FRONT = 4  # for each front node
+DRAIN_GRACE = 0.5  # s after which nothing new may go to an engine that drains
+DRAIN_PERIOD = 1.5  # s from a drain to the engine's end and the next one's start
+ENGINE_CAPACITY = 8.0  # requests a second of a warm engine
+MEASURE_INTERVAL = 2.0  # s
+LAG_CHECK_INTERVAL = 0.05  # s
+LAG_THRESHOLD = 0.02  # s
+READY_TIMEOUT = 30.0  # s
+ENGINE_FAULTS = (FaultKind.ENGINE_ERRORS, FaultKind.ENGINE_FULL, FaultKind.ENGINE_HANGS)
+FRONT_FAULTS = frozenset(
     {
-        Kind.TERMINATE,
-        Kind.KILL,
-        Kind.RELOAD,
-        Kind.STOP_SHORT,
-        Kind.STOP_LONG,
-        Kind.SIGNAL_SERIES,
-        Kind.STOP_AMID_END,
+        FaultKind.TERMINATE,
+        FaultKind.KILL,
+        FaultKind.RELOAD,
+        FaultKind.STOP_SHORT,
+        FaultKind.STOP_LONG,
+        FaultKind.SIGNAL_SERIES,
+        FaultKind.STOP_AMID_END,
     }
 )
-DISCOVERY_TROUBLES = (Kind.DISCOVERY_SILENT, Kind.DISCOVERY_SLOW, Kind.DISCOVERY_RESET)
-CLIENT_TROUBLES = (Kind.CLIENTS_LEAVE, Kind.CLIENTS_BAD)
-ROLL_EVERY = 0.3  # s between two front nodes that are told to end
+DISCOVERY_FAULTS = (FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_SLOW, FaultKind.DISCOVERY_RESET)
+CLIENT_FAULTS = (FaultKind.CLIENTS_LEAVE, FaultKind.CLIENTS_BAD)
+ROLL_INTERVAL = 0.3  # s between two front nodes that are told to end
 CROWD_SIZE = 300  # connections: more than a front node has descriptors for clients
-SEEN_LAST = 1.0  # s after the last trouble until the run is over
+SETTLE_TIME = 1.0  # s after the last trouble until the run is over
 EFFECTS = {"chat": "free", "booking": "single_shot", "order": "guarded"}
 
 
@@ -68,48 +68,48 @@
 
 
 @dataclass
-class Engine:
+class RelayedEngine:
     """A stand-in engine behind its relay; another takes its place when it has drained."""
 
-    stand: SoakEngine
+    server: SoakEngine
     relay: Relay
 
 
-class World:
+class SoakRun:
     """All that one run needs. records: what was seen."""
 
     def __init__(self, plan: Plan, fronts: int, folder: Path) -> None:
         self.plan, self.folder = plan, folder
         self.records: list[Record] = []
-        self.rooms: dict[str, float] = {}
-        self.wanted: Counter[str] = Counter()
-        self.count = fronts
-        self.engines: list[Engine] = []
+        self.held_states: dict[str, float] = {}
+        self.waiting_decodes: Counter[str] = Counter()
+        self.front_count = fronts
+        self.engines: list[RelayedEngine] = []
         self.agents: list[list[Agent]] = []
         self.discovery: list[Relay] = []
         self.fronts: list[FrontProcess] = []
         self.zones: dict[str, str] = {}
-        self.client_troubles: list[Kind] = []
-        self.made = 0
+        self.active_client_faults: list[FaultKind] = []
+        self.engines_created = 0
         self.draining: set[int] = set()
         self.tasks: list[asyncio.Task[None]] = []
-        self.over = False
+        self.run_ended = False
 
-    def note(self, record: Record) -> None:
-        if not self.over:
+    def add_record(self, record: Record) -> None:
+        if not self.run_ended:
             self.records.append(record)
 
     @property
     def limits(self) -> Limits:
-        told = soak_settings(self.count, self.plan.longest_deadline, self.plan.window)
+        told = soak_settings(self.front_count, self.plan.longest_deadline, self.plan.key_ttl)
         safety = told["safety"]
         window = safety["fallNs"] / SECOND
         return Limits(
-            pin=told["familyInfo"]["pinLimitNs"] / SECOND,
-            grace=GRACE,
-            window=self.plan.window,
+            held_limit=told["familyInfo"]["pinLimitNs"] / SECOND,
+            drain_grace=DRAIN_GRACE,
+            key_ttl=self.plan.key_ttl,
             effects=EFFECTS,
-            cold_budget=safety["tipMultiple"] * safety["coldFrom"] * CAPACITY * window,
+            cold_budget=safety["tipMultiple"] * safety["coldFrom"] * ENGINE_CAPACITY * window,
             cold_window=window,
             warm_after=safety["warmAfterNs"] / SECOND,
             zones=self.zones,
@@ -117,36 +117,36 @@
 
     # Setting up.
 
-    async def new_engine(self, place: int, boot_ms: int) -> Engine:
-        self.made += 1
-        uid, zone = f"e{place}-{self.made}", "ab"[place % 2]
+    async def new_engine(self, place: int, boot_ms: int) -> RelayedEngine:
+        self.engines_created += 1
+        uid, zone = f"e{place}-{self.engines_created}", "ab"[place % 2]
         self.zones[uid] = zone
-        stand = SoakEngine(
+        server = SoakEngine(
             uid,
-            place < ENGINES // 2,
+            place < ENGINE_COUNT // 2,
             zone,
-            self.rooms,
-            self.wanted,
-            self.note,
-            self.plan.seed * 100 + self.made,
+            self.held_states,
+            self.waiting_decodes,
+            self.add_record,
+            self.plan.seed * 100 + self.engines_created,
         )
-        stand.boot_ms = boot_ms
-        await stand.open()
-        port = int(stand.address.rpartition(":")[2])
-        relay = Relay(lambda: ("127.0.0.1", port), lambda: EngineLink(uid, self.note))
+        server.boot_ms = boot_ms
+        await server.open()
+        port = int(server.address.rpartition(":")[2])
+        relay = Relay(lambda: ("127.0.0.1", port), lambda: EngineConnectionObserver(uid, self.add_record))
         await relay.listen()
-        return Engine(stand, relay)
+        return RelayedEngine(server, relay)
 
-    def rows(self) -> list[dict[str, Any]]:
-        return [engine.stand.row(engine.relay.port) for engine in self.engines]
+    def endpoint_entries(self) -> list[dict[str, Any]]:
+        return [engine.server.endpoint_entry(engine.relay.port) for engine in self.engines]
 
     async def new_front(self, number: int) -> None:
         agents: list[Agent] = []
         addresses = []
         for _ in range(2):
-            agent = SoakAgent(self.rows)
+            agent = SoakAgent(self.endpoint_entries)
             host, _, port = (await agent.open()).rpartition(":")
-            relay = Relay(lambda host=host, port=port: (host, int(port)), Watcher)  # type: ignore[misc]
+            relay = Relay(lambda host=host, port=port: (host, int(port)), ConnectionObserver)  # type: ignore[misc]
             await relay.listen()
             agents.append(agent)
             addresses.append(f"127.0.0.1:{relay.port}")
@@ -156,30 +156,30 @@
             FrontProcess(
                 f"n{number}",
                 self.folder,
-                soak_settings(self.count, self.plan.longest_deadline, self.plan.window),
+                soak_settings(self.front_count, self.plan.longest_deadline, self.plan.key_ttl),
                 addresses,
                 self.shims(number),
-                self.note,
+                self.add_record,
             )
         )
 
     def shims(self, number: int) -> list[tuple[str, float, float, float]]:
         """Known before the run begins: its clock starts once all front nodes are ready."""
         return [
-            (t.kind.name, t.at, t.at + t.seconds, STEPS[t.target % len(STEPS)])
-            for t in self.plan.troubles
-            if t.kind in SHIMMED and t.target % self.count == number
+            (t.kind.name, t.at, t.at + t.seconds, CLOCK_STEPS[t.target % len(CLOCK_STEPS)])
+            for t in self.plan.faults
+            if t.kind in SHIM_FAULTS and t.target % self.front_count == number
         ]
 
     # The run.
 
     async def run(self) -> list[Record]:
         self.folder.mkdir(parents=True, exist_ok=True)
-        for place in range(ENGINES):
+        for place in range(ENGINE_COUNT):
             self.engines.append(await self.new_engine(place, 0))
-        for number in range(self.count):
+        for number in range(self.front_count):
             await self.new_front(number)
-        begin = monotonic() + 2.0 + 0.4 * self.count
+        begin = monotonic() + 2.0 + 0.4 * self.front_count
         try:
             for front in self.fronts:
                 front.shims = [
@@ -187,160 +187,179 @@
                 ]
             await asyncio.gather(*(front.start() for front in self.fronts))
             if await self.all_ready():
-                await self.play(max(begin, monotonic()))
+                await self.inject_faults(max(begin, monotonic()))
         finally:
             await self.close()
         return self.records
 
     async def all_ready(self) -> bool:
         try:
-            async with asyncio.timeout(READY_WITHIN):
+            async with asyncio.timeout(READY_TIMEOUT):
                 while not all(front.address.ready for front in self.fronts):
                     await asyncio.sleep(0.05)
         except TimeoutError:
             late = [front.name for front in self.fronts if not front.address.ready]
-            self.note(Record(monotonic(), Seen.LOG, late[0], text=f"not ready: {', '.join(late)}"))
+            self.add_record(
+                Record(monotonic(), RecordKind.LOG, late[0], text=f"not ready: {', '.join(late)}")
+            )
             return False
         return True
 
-    async def play(self, begin: float) -> None:
+    async def inject_faults(self, begin: float) -> None:
         self.spawn(self.watch_lag())
         self.spawn(self.measure())
         addresses = [front.address for front in self.fronts]
-        for number in range(CLIENTS_EACH * self.count):
+        for number in range(CLIENTS_PER_FRONT * self.front_count):
             client = SoakClient(
-                number, addresses, self.note, self.client_troubles, self.plan.seed, self.plan.longest_deadline
+                number,
+                addresses,
+                self.add_record,
+                self.active_client_faults,
+                self.plan.seed,
+                self.plan.longest_deadline,
             )
             self.spawn(client.run())
-        for trouble in self.plan.troubles:
-            self.spawn(self.bring(trouble, begin + trouble.at))
-        await asyncio.sleep(max(0.0, begin + self.plan.seconds + SEEN_LAST - monotonic()))
+        for fault in self.plan.faults:
+            self.spawn(self.inject_fault(fault, begin + fault.at))
+        await asyncio.sleep(max(0.0, begin + self.plan.seconds + SETTLE_TIME - monotonic()))
 
     def spawn(self, work: Any) -> None:
         self.tasks.append(asyncio.create_task(work))
 
-    async def bring(self, trouble: Trouble, at: float) -> None:
+    async def inject_fault(self, fault: Fault, at: float) -> None:
         await asyncio.sleep(max(0.0, at - monotonic()))
-        kind, seconds = trouble.kind, trouble.seconds
-        front = self.fronts[trouble.target % self.count]
-        place = trouble.target % ENGINES
+        kind, seconds = fault.kind, fault.seconds
+        front = self.fronts[fault.target % self.front_count]
+        place = fault.target % ENGINE_COUNT
         engine = self.engines[place]
-        if kind is Kind.ROLE_SILENT:
-            await self.silence_role(trouble)
+        if kind is FaultKind.ROLE_SILENT:
+            await self.silence_role(fault)
             return
-        if kind is Kind.ROLL:
+        if kind is FaultKind.ROLL:
             await self.roll()
             return
-        about_engine = kind.name.startswith(("ENGINE", "LINK")) and kind is not Kind.LINK_BREAKS
-        names = {"engine": engine.stand.uid} if about_engine else {"front": front.name}
-        if kind in CLIENT_TROUBLES:
+        about_engine = kind.name.startswith(("ENGINE", "LINK")) and kind is not FaultKind.LINK_BREAKS
+        names = {"engine": engine.server.uid} if about_engine else {"front": front.name}
+        if kind in CLIENT_FAULTS:
             names = {}
-        self.note(Record(monotonic(), Seen.TROUBLE, value=seconds, text=kind.name, **names))
-        if kind is Kind.CROWD:
-            await crowd(front.address.port, seconds)
-        elif kind in FRONT_TROUBLES:
-            await front.suffer(kind, seconds)
-        elif kind is Kind.ENGINE_DRAINS:
-            await self.replace(place)
-        elif kind in ENGINE_TROUBLES:
-            await self.hold(engine.stand.troubles.append, engine.stand.troubles.remove, kind, seconds)
+        self.add_record(Record(monotonic(), RecordKind.TROUBLE, value=seconds, text=kind.name, **names))
+        if kind is FaultKind.CROWD:
+            await open_idle_connections(front.address.port, seconds)
+        elif kind in FRONT_FAULTS:
+            await front.inject(kind, seconds)
+        elif kind is FaultKind.ENGINE_DRAINS:
+            await self.replace_engine(place)
+        elif kind in ENGINE_FAULTS:
+            await self.apply_for(
+                engine.server.active_faults.append, engine.server.active_faults.remove, kind, seconds
+            )
         elif about_engine:
-            await engine.relay.begin(kind)
+            await engine.relay.start_fault(kind)
             await asyncio.sleep(seconds)
-            await engine.relay.end(kind)
-        elif kind in DISCOVERY_TROUBLES:
-            relays = self.discovery[2 * (trouble.target % self.count) :][:2]
+            await engine.relay.end_fault(kind)
+        elif kind in DISCOVERY_FAULTS:
+            relays = self.discovery[2 * (fault.target % self.front_count) :][:2]
             for relay in relays:
-                await relay.begin(kind)
+                await relay.start_fault(kind)
             await asyncio.sleep(seconds)
             for relay in relays:
-                await relay.end(kind)
-        elif kind in CLIENT_TROUBLES:
-            await self.hold(self.client_troubles.append, self.client_troubles.remove, kind, seconds)
+                await relay.end_fault(kind)
+        elif kind in CLIENT_FAULTS:
+            await self.apply_for(
+                self.active_client_faults.append, self.active_client_faults.remove, kind, seconds
+            )
 
-    async def silence_role(self, trouble: Trouble) -> None:
+    async def silence_role(self, fault: Fault) -> None:
         """All but one of the engines of a role, at the same moment."""
-        half = ENGINES // 2
-        first = half * (trouble.target % 2)
-        spared = first + trouble.target // 2 % half
+        half = ENGINE_COUNT // 2
+        first = half * (fault.target % 2)
+        spared = first + fault.target // 2 % half
         engines = [self.engines[place] for place in range(first, first + half) if place != spared]
         for engine in engines:
-            self.note(
+            self.add_record(
                 Record(
                     monotonic(),
-                    Seen.TROUBLE,
-                    engine=engine.stand.uid,
-                    value=trouble.seconds,
-                    text=Kind.LINK_SILENT.name,
+                    RecordKind.TROUBLE,
+                    engine=engine.server.uid,
+                    value=fault.seconds,
+                    text=FaultKind.LINK_SILENT.name,
                 )
             )
-            await engine.relay.begin(Kind.LINK_SILENT)
-        await asyncio.sleep(trouble.seconds)
+            await engine.relay.start_fault(FaultKind.LINK_SILENT)
+        await asyncio.sleep(fault.seconds)
         for engine in engines:
-            await engine.relay.end(Kind.LINK_SILENT)
+            await engine.relay.end_fault(FaultKind.LINK_SILENT)
 
     async def roll(self) -> None:
         """Each front node is told to end, one after another."""
         for front in self.fronts:
-            self.note(
+            self.add_record(
                 Record(
-                    monotonic(), Seen.TROUBLE, front.name, value=front.to_the_kill, text=Kind.TERMINATE.name
+                    monotonic(),
+                    RecordKind.TROUBLE,
+                    front.name,
+                    value=front.kill_delay,
+                    text=FaultKind.TERMINATE.name,
                 )
             )
-            self.spawn(front.suffer(Kind.TERMINATE, 0.0))
-            await asyncio.sleep(ROLL_EVERY)
-
-    async def hold(
-        self, begin: Callable[[Kind], None], end: Callable[[Kind], None], kind: Kind, seconds: float
+            self.spawn(front.inject(FaultKind.TERMINATE, 0.0))
+            await asyncio.sleep(ROLL_INTERVAL)
+
+    async def apply_for(
+        self,
+        begin: Callable[[FaultKind], None],
+        end: Callable[[FaultKind], None],
+        kind: FaultKind,
+        seconds: float,
     ) -> None:
         begin(kind)
         await asyncio.sleep(seconds)
         end(kind)
 
-    async def replace(self, place: int) -> None:
+    async def replace_engine(self, place: int) -> None:
         """The engine drains, ends, and a cold one is listed in its place."""
         if place in self.draining:
             return
         self.draining.add(place)
         old = self.engines[place]
-        old.stand.state = "DRAINING"
-        self.tell(old)
+        old.server.state = "DRAINING"
+        self.announce(old)
         for front in self.fronts:
-            self.note(Record(monotonic(), Seen.DRAINED, front.name, "", old.stand.uid))
-        await asyncio.sleep(DRAINED_FOR)
+            self.add_record(Record(monotonic(), RecordKind.DRAINED, front.name, "", old.server.uid))
+        await asyncio.sleep(DRAIN_PERIOD)
         new = await self.new_engine(place, int(1000 * time.time()))
-        self.note(Record(monotonic(), Seen.COLD, engine=new.stand.uid))
-        old.stand.state = "DELETED"
+        self.add_record(Record(monotonic(), RecordKind.COLD, engine=new.server.uid))
+        old.server.state = "DELETED"
         self.engines[place] = new
-        self.tell(old, new)
-        await asyncio.sleep(DRAINED_FOR)
+        self.announce(old, new)
+        await asyncio.sleep(DRAIN_PERIOD)
         old.relay.close()
-        old.stand.close()
+        old.server.close()
         self.draining.discard(place)
 
-    def tell(self, *engines: Engine) -> None:
-        rows = [engine.stand.row(engine.relay.port) for engine in engines]
+    def announce(self, *engines: RelayedEngine) -> None:
+        rows = [engine.server.endpoint_entry(engine.relay.port) for engine in engines]
         for agents in self.agents:
             for agent in agents:
                 agent.say(*rows)
 
     async def watch_lag(self) -> None:
         while True:
-            due = monotonic() + LAG_EVERY
-            await asyncio.sleep(LAG_EVERY)
+            due = monotonic() + LAG_CHECK_INTERVAL
+            await asyncio.sleep(LAG_CHECK_INTERVAL)
             late = monotonic() - due
-            if late > LAG_TOLD:
-                self.note(Record(monotonic(), Seen.LAG, value=late))
+            if late > LAG_THRESHOLD:
+                self.add_record(Record(monotonic(), RecordKind.LAG, value=late))
 
     async def measure(self) -> None:
         while True:
-            await asyncio.sleep(MEASURE_EVERY)
+            await asyncio.sleep(MEASURE_INTERVAL)
             for front in self.fronts:
                 front.measure()
 
     async def close(self) -> None:
         """End all. What is seen from now on is the end's doing, and not noted."""
-        self.over = True
+        self.run_ended = True
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -348,14 +367,14 @@
         for relay in [*self.discovery, *(engine.relay for engine in self.engines)]:
             relay.close()
         for engine in self.engines:
-            engine.stand.close()
+            engine.server.close()
         for agents in self.agents:
             for agent in agents:
                 agent.close()
         await asyncio.sleep(0)
 
 
-async def crowd(port: int, seconds: float) -> None:
+async def open_idle_connections(port: int, seconds: float) -> None:
     """Connections that say nothing, more than a front node keeps; gone after so many s, all opened or not."""
     ends = monotonic() + seconds
     writers: list[asyncio.StreamWriter] = []
@@ -373,11 +392,11 @@
 
     def __init__(self, rows: Callable[[], list[dict[str, Any]]]) -> None:
         super().__init__()
-        self.listed = rows
+        self.list_entries = rows
 
     @property
     def engines(self) -> list[Any]:
-        return [ListedRow(row) for row in self.listed()]
+        return [ListedEngine(row) for row in self.list_entries()]
 
     @engines.setter
     def engines(self, engines: list[Any]) -> None:
@@ -385,5 +404,5 @@
 
 
 @dataclass
-class ListedRow:
+class ListedEngine:
     row: dict[str, Any]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -16,16 +16,16 @@
 from heathford.days.recording import Recording
 from heathford.soak.front import FrontProcess
 from heathford.soak.oracle import Limits, Oracle
-from heathford.soak.plan import TOUCH, Kind, Plan, Trouble, draw, read, shrink
-from heathford.soak.records import Record, Seen
-from heathford.soak.relay import Relay, Watcher
-from heathford.soak.report import play
+from heathford.soak.plan import ADJACENCY_GAP, FaultKind, Plan, Fault, draw_plan, parse_plan, shrink
+from heathford.soak.records import Record, RecordKind
+from heathford.soak.relay import Relay, ConnectionObserver
+from heathford.soak.report import run_plan
 from heathford.standin.platform import Agent, settings
 
 LIMITS = Limits(
-    pin=0.3,
-    grace=0.5,
-    window=1.5,
+    held_limit=0.3,
+    drain_grace=0.5,
+    key_ttl=1.5,
     effects={"chat": "free", "booking": "single_shot", "order": "guarded"},
     cold_budget=6.0,
     cold_window=1.0,
@@ -38,22 +38,22 @@
     """An attempt that is answered 0.05 s later."""
     role = "prefill" if engine == "r" else "decode"
     return [
-        Record(at, Seen.FIRST_BYTE, "", name, engine),
-        Record(at, Seen.LAST_BYTE, "", name, engine, told),
-        Record(at, Seen.DELIVERED, "", name, engine, 0.0, role),
-        Record(at + 0.05, Seen.ENGINE_SAID, "", name, engine, 0.0, said),
-        Record(at + 0.05, Seen.PASSED_ON, "", name, engine),
+        Record(at, RecordKind.FIRST_BYTE, "", name, engine),
+        Record(at, RecordKind.LAST_BYTE, "", name, engine, told),
+        Record(at, RecordKind.DELIVERED, "", name, engine, 0.0, role),
+        Record(at + 0.05, RecordKind.ENGINE_SAID, "", name, engine, 0.0, said),
+        Record(at + 0.05, RecordKind.PASSED_ON, "", name, engine),
     ]
 
 
 def asked(
     at: float = 10.0, request_class: str = "booking", budget: float = 3_000.0, name: str = "c"
 ) -> Record:
-    return Record(at, Seen.ASKED, "n", name, "", budget, request_class)
+    return Record(at, RecordKind.ASKED, "n", name, "", budget, request_class)
 
 
 def answered(at: float, status: int, name: str = "c") -> Record:
-    return Record(at, Seen.ANSWERED, "n", name, "", status)
+    return Record(at, RecordKind.ANSWERED, "n", name, "", status)
 
 
 CLEAN = [
@@ -61,48 +61,48 @@
     *attempt(10.0, "r", "read"),
     *attempt(10.1, "w", "stream"),
     answered(10.4, 200),
-    Record(20.0, Seen.MEASURE, "n", value=40, text="30000"),
+    Record(20.0, RecordKind.MEASURE, "n", value=40, text="30000"),
 ]
-RELEASED = Record(10.2, Seen.RELEASED, "", "c", "r")
+RELEASED = Record(10.2, RecordKind.RELEASED, "", "c", "r")
 WELL_READ = [asked(), *attempt(10.0, "r", "read")]
 
 LATE_READ = [
     asked(),
     *attempt(10.0, "r", "")[:3],
-    Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
-    Record(10.11, Seen.RELEASED, "", "c", "w"),
-    Record(10.2, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read"),
+    Record(10.1, RecordKind.GIVEN_UP, "", "c", "r"),
+    Record(10.11, RecordKind.RELEASED, "", "c", "w"),
+    Record(10.2, RecordKind.ENGINE_SAID, "", "c", "r", 0.0, "read"),
 ]
 
 BREACHES: dict[str, list[Record]] = {
     "1 one answer": [*CLEAN, answered(10.5, 502)],
-    "1 one answer, lost": [asked(), Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
+    "1 one answer, lost": [asked(), Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "new"), *CLEAN[-1:]],
     "1 one answer, lost on a connection opened in time after SIGTERM": [
-        Record(9.7, Seen.ENDING, "n"),
+        Record(9.7, RecordKind.ENDING, "n"),
         asked(),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+        Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "new"),
         *CLEAN[-1:],
     ],
     "1 one answer, lost by the process that took the place of one told to end": [
-        Record(8.0, Seen.ENDING, "n"),
-        Record(9.0, Seen.EXIT, "n", value=0),
+        Record(8.0, RecordKind.ENDING, "n"),
+        Record(9.0, RecordKind.EXIT, "n", value=0),
         asked(),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+        Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "new"),
         *CLEAN[-1:],
     ],
-    "1 one answer, cut": [*CLEAN[:-2], Record(10.3, Seen.CUT, "n", "c"), *CLEAN[-1:]],
+    "1 one answer, cut": [*CLEAN[:-2], Record(10.3, RecordKind.CUT, "n", "c"), *CLEAN[-1:]],
     "1 one answer, cut by the kill, come late": [
-        Record(9.2, Seen.ENDING, "n"),
+        Record(9.2, RecordKind.ENDING, "n"),
         *CLEAN[:-2],
-        Record(10.3, Seen.CUT, "n", "c"),
-        Record(10.31, Seen.EXIT, "n", value=-9),
+        Record(10.3, RecordKind.CUT, "n", "c"),
+        Record(10.31, RecordKind.EXIT, "n", value=-9),
         *CLEAN[-1:],
     ],
     "1 one answer, cut before the kill": [
-        Record(9.5, Seen.ENDING, "n"),
+        Record(9.5, RecordKind.ENDING, "n"),
         *CLEAN[:-2],
-        Record(10.3, Seen.CUT, "n", "c"),
-        Record(10.5, Seen.EXIT, "n", value=-9),
+        Record(10.3, RecordKind.CUT, "n", "c"),
+        Record(10.5, RecordKind.EXIT, "n", value=-9),
         *CLEAN[-1:],
     ],
     "1 in time": [asked(), answered(13.6, 502)],
@@ -127,9 +127,9 @@
         *attempt(10.1, "w", "error"),
         *attempt(10.3, "w2", "stream"),
     ],
-    "3 drain": [Record(9.0, Seen.DRAINED, "n", "", "w"), *CLEAN],
+    "3 drain": [Record(9.0, RecordKind.DRAINED, "n", "", "w"), *CLEAN],
     "4 cold": [
-        Record(9.5, Seen.COLD, engine="w"),
+        Record(9.5, RecordKind.COLD, engine="w"),
         *(
             record
             for number in range(17)
@@ -139,20 +139,20 @@
             ]
         ),
     ],
-    "5 held": [*WELL_READ, Record(20.0, Seen.MEASURE, "n", value=40, text="30000")],
-    "5 held, released late": [*WELL_READ, Record(10.8, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+    "5 held": [*WELL_READ, Record(20.0, RecordKind.MEASURE, "n", value=40, text="30000")],
+    "5 held, released late": [*WELL_READ, Record(10.8, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
     "5 held, behind an attempt that no engine has read": [
         *WELL_READ,
         *attempt(10.1, "w", "")[:2],
-        Record(10.2, Seen.TROUBLE, "", "", "w", 2.0, "LINK_UNREAD"),
-        Record(12.0, Seen.RELEASED, "", "c", "w"),
+        Record(10.2, RecordKind.TROUBLE, "", "", "w", 2.0, "LINK_UNREAD"),
+        Record(12.0, RecordKind.RELEASED, "", "c", "w"),
         *CLEAN[-1:],
     ],
     "5 held, left by a release to an attempt that ended without it": [
         *WELL_READ,
         *attempt(10.1, "w", "")[:3],
-        Record(10.4, Seen.RELEASED, "", "c", "r"),
-        Record(10.6, Seen.GIVEN_UP, "", "c", "w"),
+        Record(10.4, RecordKind.RELEASED, "", "c", "r"),
+        Record(10.6, RecordKind.GIVEN_UP, "", "c", "w"),
         *CLEAN[-1:],
     ],
     "5 held, left by a read that ended well after it was given up": [
@@ -163,21 +163,21 @@
     "5 held, left by such a read while the request goes on": [
         *LATE_READ,
         *attempt(10.13, "w", "error"),
-        Record(10.15, Seen.RELEASED, "", "c", "w"),
+        Record(10.15, RecordKind.RELEASED, "", "c", "w"),
         *CLEAN[-1:],
     ],
     "1 one answer, read and lost": [
         asked(request_class="chat"),
         *attempt(10.0, "r", "error"),
-        Record(11.0, Seen.LOST, "n", "c", "", 0.0, "reused"),
+        Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "reused"),
         RELEASED,
         *CLEAN[-1:],
     ],
     "client gone": [
         asked(),
-        Record(10.01, Seen.LEFT, "n", "c"),
+        Record(10.01, RecordKind.LEFT, "n", "c"),
         *attempt(10.2, "r", "read"),
-        Record(10.3, Seen.RELEASED, "", "c", "r"),
+        Record(10.3, RecordKind.RELEASED, "", "c", "r"),
     ],
     "deadline told": [
         asked(budget=1_000.0),
@@ -185,32 +185,32 @@
         *attempt(10.1, "w", "stream", told=800.0),
         answered(10.4, 200),
     ],
-    "event held back": [*CLEAN, Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.4)],
+    "event held back": [*CLEAN, Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.4)],
     "event held back, beside a link that was late": [
         *CLEAN,
-        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.5, "1.0"),
+        Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+        Record(10.0, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.5, "1.0"),
     ],
     "event held back, beside another event that its link held back": [
         *CLEAN,
-        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-        Record(10.0, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.9, "2.0"),
+        Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+        Record(10.0, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.9, "2.0"),
     ],
     "event held back, under short reads": [
         *CLEAN,
-        Record(10.0, Seen.TROUBLE, "n", value=1.0, text="RECV_SHORT"),
-        Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.4),
+        Record(10.0, RecordKind.TROUBLE, "n", value=1.0, text="RECV_SHORT"),
+        Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.4),
     ],
-    "bad client": [*CLEAN, Record(14.0, Seen.WAITED, "n", value=3.1)],
-    "crash": [*CLEAN, Record(12.0, Seen.EXIT, "n", value=1, text="unexpected")],
-    "log": [*CLEAN, Record(12.0, Seen.LOG, "n", text="Traceback")],
+    "bad client": [*CLEAN, Record(14.0, RecordKind.WAITED, "n", value=3.1)],
+    "crash": [*CLEAN, Record(12.0, RecordKind.EXIT, "n", value=1, text="unexpected")],
+    "log": [*CLEAN, Record(12.0, RecordKind.LOG, "n", text="Traceback")],
     "log, answered by the last resort": [
         asked(),
         answered(13.2, 502),
-        Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
+        Record(13.1, RecordKind.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
     ],
-    "descriptors": [*CLEAN, Record(30.0, Seen.MEASURE, "n", value=170, text="30000")],
-    "memory": [*CLEAN, Record(30.0, Seen.MEASURE, "n", value=40, text="80000")],
+    "descriptors": [*CLEAN, Record(30.0, RecordKind.MEASURE, "n", value=170, text="30000")],
+    "memory": [*CLEAN, Record(30.0, RecordKind.MEASURE, "n", value=40, text="80000")],
 }
 
 
@@ -230,7 +230,7 @@
 @pytest.mark.parametrize(
     "records",
     [
-        [*WELL_READ, Record(10.6, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [*WELL_READ, Record(10.6, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
         [*WELL_READ, *attempt(10.1, "w", "full"), *attempt(10.2, "w2", "stream"), answered(10.6, 200)],
         [
             asked(request_class="order"),
@@ -239,55 +239,55 @@
             RELEASED,
             *attempt(11.4, "w", "stream", told=900.0),
         ],
-        [Record(10.0, Seen.DRAINED, "n", "", "w"), *CLEAN],
-        [asked(), Record(10.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"), answered(14.0, 502)],
+        [Record(10.0, RecordKind.DRAINED, "n", "", "w"), *CLEAN],
+        [asked(), Record(10.0, RecordKind.TROUBLE, "n", value=2.0, text="STOP_LONG"), answered(14.0, 502)],
         [
             *CLEAN,
-            Record(12.0, Seen.TROUBLE, "n", value=2.0, text="STOP_LONG"),
-            Record(14.0, Seen.WAITED, "n", value=3.9),
+            Record(12.0, RecordKind.TROUBLE, "n", value=2.0, text="STOP_LONG"),
+            Record(14.0, RecordKind.WAITED, "n", value=3.9),
         ],
         [
             asked(),
-            Record(10.1, Seen.TROUBLE, "n", value=0.1, text="KILL"),
-            Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new"),
+            Record(10.1, RecordKind.TROUBLE, "n", value=0.1, text="KILL"),
+            Record(10.2, RecordKind.LOST, "n", "c", "", 0.0, "new"),
         ],
-        [asked(), Record(10.2, Seen.LOST, "n", "c", "", 0.0, "reused")],
+        [asked(), Record(10.2, RecordKind.LOST, "n", "c", "", 0.0, "reused")],
         [
             asked(),
             answered(13.1, 502),
-            Record(13.1, Seen.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
+            Record(13.1, RecordKind.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
         ],
         [
             asked(),
-            Record(10.1, Seen.TROUBLE, "n", value=1.0, text="CROWD"),
-            Record(10.2, Seen.LOST, "n", "c", "", 0.0, "new"),
+            Record(10.1, RecordKind.TROUBLE, "n", value=1.0, text="CROWD"),
+            Record(10.2, RecordKind.LOST, "n", "c", "", 0.0, "new"),
         ],
         [
-            Record(9.5, Seen.ENDING, "n"),
+            Record(9.5, RecordKind.ENDING, "n"),
             asked(),
-            Record(11.0, Seen.LOST, "n", "c", "", 0.0, "new"),
+            Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "new"),
             *CLEAN[-1:],
         ],
         [
             *CLEAN,
-            Record(10.4, Seen.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
-            Record(10.3, Seen.EVENT_ON_THE_WAY, "", "c", "w", 0.8, "1.0"),
+            Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
+            Record(10.3, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.8, "1.0"),
         ],
-        [*LATE_READ, Record(10.7, Seen.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [*LATE_READ, Record(10.7, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
         [
             asked(),
             *attempt(10.0, "r", "")[:2],
-            Record(10.1, Seen.GIVEN_UP, "", "c", "r"),
-            Record(12.0, Seen.DELIVERED, "", "c", "r", 0.0, "prefill"),
-            Record(12.1, Seen.ENGINE_SAID, "", "c", "r", 0.0, "read"),
+            Record(10.1, RecordKind.GIVEN_UP, "", "c", "r"),
+            Record(12.0, RecordKind.DELIVERED, "", "c", "r", 0.0, "prefill"),
+            Record(12.1, RecordKind.ENGINE_SAID, "", "c", "r", 0.0, "read"),
             *CLEAN[-1:],
         ],
         [*LATE_READ, *attempt(10.25, "w", "stream"), answered(10.4, 200), *CLEAN[-1:]],
         [
-            Record(9.5, Seen.ENDING, "n"),
+            Record(9.5, RecordKind.ENDING, "n"),
             *CLEAN[:-2],
-            Record(10.3, Seen.CUT, "n", "c"),
-            Record(10.31, Seen.EXIT, "n", value=-9),
+            Record(10.3, RecordKind.CUT, "n", "c"),
+            Record(10.31, RecordKind.EXIT, "n", value=-9),
             *CLEAN[-1:],
         ],
     ],
@@ -298,38 +298,38 @@
 
 @pytest.mark.parametrize("seed", range(20))
 def test_a_plan_is_drawn_from_its_seed_alone_and_read_back(seed: int) -> None:
-    plan = draw(seed, 20.0)
-    assert plan == draw(seed, 20.0) and read(plan.printed()) == plan
-    assert plan.pairs and all(0.0 < trouble.at < 25.0 for trouble in plan.troubles)
+    plan = draw_plan(seed, 20.0)
+    assert plan == draw_plan(seed, 20.0) and parse_plan(plan.to_json()) == plan
+    assert plan.overlapping_kinds and all(0.0 < fault.at < 25.0 for fault in plan.faults)
 
 
 def test_a_role_falls_silent_several_times_and_deadlines_are_drawn() -> None:
-    plans = [draw(seed, 20.0) for seed in range(40)]
+    plans = [draw_plan(seed, 20.0) for seed in range(40)]
     assert {plan.longest_deadline for plan in plans} == {0.4, 1.0, 3.0}
-    silences = [[t for t in plan.troubles if t.kind is Kind.ROLE_SILENT] for plan in plans]
+    silences = [[t for t in plan.faults if t.kind is FaultKind.ROLE_SILENT] for plan in plans]
     assert any(len({t.target for t in some}) == 1 and len(some) == 3 for some in silences)
 
 
 def test_troubles_that_touch_are_pairs() -> None:
-    troubles = (
-        Trouble(Kind.KILL, 0, 1.0, 0.5),
-        Trouble(Kind.RELOAD, 0, 1.5 + TOUCH / 2, 0.1),
-        Trouble(Kind.CLOCK, 0, 3.0, 0.1),
+    faults = (
+        Fault(FaultKind.KILL, 0, 1.0, 0.5),
+        Fault(FaultKind.RELOAD, 0, 1.5 + ADJACENCY_GAP / 2, 0.1),
+        Fault(FaultKind.CLOCK, 0, 3.0, 0.1),
     )
-    assert Plan(1, 5.0, troubles).pairs == {frozenset({Kind.KILL, Kind.RELOAD})}
+    assert Plan(1, 5.0, faults).overlapping_kinds == {frozenset({FaultKind.KILL, FaultKind.RELOAD})}
 
 
 def test_a_plan_shrinks_to_what_still_fails() -> None:
-    plan = draw(3, 20.0)
-    needed = set(plan.troubles[2:4])
-    small = shrink(plan, lambda fewer: needed <= set(fewer.troubles), 200)
-    assert set(small.troubles) == needed
+    plan = draw_plan(3, 20.0)
+    needed = set(plan.faults[2:4])
+    small = shrink(plan, lambda fewer: needed <= set(fewer.faults), 200)
+    assert set(small.faults) == needed
 
 
 def test_a_few_seconds_of_one_seed(tmp_path: Path) -> None:
     """Real processes. Which seed: one whose troubles are of this machine's own and of the links."""
-    plan = replace(draw(5, 6.0), seconds=6.0)
-    outcome = play(plan, 3, tmp_path)
+    plan = replace(draw_plan(5, 6.0), seconds=6.0)
+    outcome = run_plan(plan, 3, tmp_path)
     assert outcome.asked > 50 and outcome.answers[200] > 25
     assert outcome.breaches == []
 
@@ -343,18 +343,18 @@
             came.set()
 
         server = await asyncio.start_server(engine, "127.0.0.1", 0)
-        relay = Relay(lambda: server.sockets[0].getsockname()[:2], Watcher)
+        relay = Relay(lambda: server.sockets[0].getsockname()[:2], ConnectionObserver)
         await relay.listen()
         _, writer = await asyncio.open_connection("127.0.0.1", relay.port)
         writer.write(b"a")
         await asyncio.sleep(0.05)
-        await relay.begin(Kind.ENGINE_STOPPED)
+        await relay.start_fault(FaultKind.ENGINE_STOPPED)
         writer.write(b"b")
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await asyncio.open_connection("127.0.0.1", relay.port)
         assert not came.is_set()
-        await relay.end(Kind.ENGINE_STOPPED)
+        await relay.end_fault(FaultKind.ENGINE_STOPPED)
         async with asyncio.timeout(5.0):
             await came.wait()
             (await asyncio.open_connection("127.0.0.1", relay.port))[1].close()
@@ -375,13 +375,13 @@
         front = FrontProcess("n0", tmp_path, settings(), 2 * [await agent.open()], [], seen.append)
         await front.start()
         try:
-            assert not front.may_be_reloaded()
+            assert not front.can_reload()
             async with asyncio.timeout(10.0):
-                await front.suffer(Kind.RELOAD, 0.0)
+                await front.inject(FaultKind.RELOAD, 0.0)
             assert monotonic() >= front.started_at + 1.0 and front.address.ready
-            await front.suffer(Kind.SIGNAL_SERIES, 0.0)  # ends it, and starts it anew
-            front.ends = True
-            await front.tell_to_end(Kind.SIGNAL_SERIES)  # at once: SIGTERM alone
+            await front.inject(FaultKind.SIGNAL_SERIES, 0.0)  # ends it, and starts it anew
+            front.is_ending = True
+            await front.terminate(FaultKind.SIGNAL_SERIES)  # at once: SIGTERM alone
             await asyncio.sleep(1.0)
         finally:
             await front.stop()
@@ -408,14 +408,16 @@
     async def day() -> None:
         front = FrontProcess("n0", tmp_path, {"categories": [{"deadlineNs": 1}]}, ["h:1"], [], seen.append)
         await front.start()
-        assert front.reading
-        await front.reading
+        assert front.log_task
+        await front.log_task
         await front.stop()
 
     seen: list[Record] = []
     asyncio.run(day())
     [breach] = Oracle(seen, LIMITS).judge()
-    assert breach.rule == "crash" and "status 2" in breach.what and "settings can't be used" in breach.what
+    assert (
+        breach.rule == "crash" and "status 2" in breach.detail and "settings can't be used" in breach.detail
+    )
 
 
 def test_a_soak_that_is_told_to_end_leaves_no_front_node_behind(tmp_path: Path) -> None:
