--- a/heathford/soak/client.py
+++ b/heathford/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients of front nodes: well-behaved ones, some that leave, and some that misbehave."""
+"""Clients of front nodes: well-behaved ones, some that disconnect early, and some that misbehave."""
 
 import asyncio
 import re
@@ -15,18 +15,18 @@
 from heathford.soak.records import Record, RecordKind
 
 RecordCallback = Callable[[Record], None]
-STALL_TIMEOUT = 5.0  # s without a byte after which a client gives a stream up
-LATE_ANSWER_WAIT = 2.0  # s past its budget for which a client waits: what comes then is late
-THINK_TIMES = (0.05, 0.5)  # s between two requests, between
+STALL_TIMEOUT = 5.0  # s that a client waits for the rest of an answer after LATE_ANSWER_WAIT
+LATE_ANSWER_WAIT = 2.0  # s past its time budget that a client waits for an answer that is late
+THINK_TIMES = (0.05, 0.5)  # s; shortest and longest pause between two requests
 BUDGET_FRACTIONS = (0.3, 0.5, 1.0)  # of the deployment's longest deadline
-PROMPT_SIZES = (36, 2_000, 60_000, 250_000)  # bytes of a prompt; a body may have 256 KiB
+PROMPT_SIZES = (36, 2_000, 60_000, 250_000)  # bytes; a body may have 256 KiB at most
 REQUEST_CLASSES = ("chat", "booking", "order")
-LEAVE_PROBABILITY = 0.05  # of requests whose client leaves, without any trouble
+LEAVE_PROBABILITY = 0.05  # that a client closes its connection early, without a CLIENTS_LEAVE fault
 
 
 @dataclass
 class FrontAddress:
-    """Where a front node listens, and whether it takes requests as far as its clients know."""
+    """Where a front node listens, and whether its clients may open new connections to it."""
 
     name: str
     port: int
@@ -34,6 +34,7 @@
 
 
 def request_bytes(name: str, request_class: str, budget: int, size: int, session: str) -> bytes:
+    """Return an HTTP request; budget: ms, size: bytes of the prompt."""
     body = orjson.dumps({"stream": True, "messages": [{"role": "user", "content": "x" * size}]})
     key = f"Idempotency-Key: {name}\r\n" if request_class == "order" else ""
     return (
@@ -46,7 +47,7 @@
 
 
 class SoakClient:
-    """One client; asks one request after the other until it is cancelled."""
+    """One client; sends one request after the other until it is cancelled."""
 
     def __init__(
         self,
@@ -63,13 +64,13 @@
             add_record,
             active_faults,
         )
-        self.budgets = [int(1000 * part * longest_deadline) for part in BUDGET_FRACTIONS]  # ms
+        self.budgets = [int(1000 * fraction * longest_deadline) for fraction in BUDGET_FRACTIONS]  # ms
         self.random = Random(seed * 10_007 + number)
         self.count = 0
         self.reader: asyncio.StreamReader | None = None
         self.writer: asyncio.StreamWriter | None = None
         self.front = fronts[0]
-        self.answers_on_connection = 0  # answers on this connection
+        self.answers_on_connection = 0
 
     async def run(self) -> None:
         while True:
@@ -81,7 +82,10 @@
                     await self.ask()
 
     async def connect(self) -> bool:
-        """Use the open connection for as long as it stays open, also while its front node ends."""
+        """Open a connection to a front node that is ready, unless one is open; return whether there is one.
+
+        An open connection is used for as long as it stays open, also while its front node terminates.
+        """
         if self.writer and self.reader and not self.writer.is_closing() and not self.reader.at_eof():
             return True
         self.disconnect()
@@ -113,8 +117,8 @@
             request_bytes(name, request_class, budget, self.random.choice(PROMPT_SIZES), f"s{self.number}")
         )
         self.record(RecordKind.ASKED, name, budget, request_class)
-        leaves = 0.5 if FaultKind.CLIENTS_LEAVE in self.active_faults else LEAVE_PROBABILITY
-        if self.random.random() < leaves:
+        leave_probability = 0.5 if FaultKind.CLIENTS_LEAVE in self.active_faults else LEAVE_PROBABILITY
+        if self.random.random() < leave_probability:
             with suppress(TimeoutError):
                 async with asyncio.timeout(self.random.uniform(0.0, 0.3)):
                     await self.read_answer(name, reused)
@@ -138,8 +142,8 @@
             head = await self.reader.readuntil(b"\r\n\r\n")
             status = int(head.split(b" ", 2)[1])
             if status != 200:
-                found = re.search(rb"(?i)content-length: (\d+)", head)
-                await self.reader.readexactly(int(found[1]) if found else 0)
+                length = re.search(rb"(?i)content-length: (\d+)", head)
+                await self.reader.readexactly(int(length[1]) if length else 0)
             else:
                 await self.read_stream(name)
         except (asyncio.IncompleteReadError, OSError):
@@ -156,39 +160,50 @@
 
     async def read_stream(self, name: str) -> None:
         assert self.reader
-        whole = b""
+        body = b""
         while True:
             size = int(await self.reader.readline() or b"0", 16)
-            part = await self.reader.readexactly(size + 2)
+            chunk = await self.reader.readexactly(size + 2)
             if not size:
                 break
-            whole += part
-            for stamp in EVENT_TIMESTAMP.findall(part):
-                late = monotonic() - float(stamp)
-                if late > LATE_EVENT_THRESHOLD:
-                    self.record(RecordKind.LATE_EVENT, name, late, stamp.decode())
-        if b"[DONE]" not in whole:
-            self.record(RecordKind.LOG, name, text="a stream ended with its last chunk and was not whole")
+            body += chunk
+            for timestamp in EVENT_TIMESTAMP.findall(chunk):
+                delay = monotonic() - float(timestamp)
+                if delay > LATE_EVENT_THRESHOLD:
+                    self.record(RecordKind.LATE_EVENT, name, delay, timestamp.decode())
+        if b"[DONE]" not in body:
+            self.record(RecordKind.LOG, name, text="a stream ended with its last chunk, but without [DONE]")
 
     async def misbehave(self) -> None:
-        """On a connection of its own: owed an answer or a close within 3 s, if it stays."""
+        """Send an incomplete or malformed request on a new connection and record how long it stays open.
+
+        The front node has to answer or to close the connection within 3 s.
+        """
         ready = [front for front in self.fronts if front.ready]
         if not ready:
             return
         front = self.random.choice(ready)
         reader, writer = await asyncio.open_connection("127.0.0.1", front.port)
-        whole = request_bytes("bad", "chat", 900, 36, "s")
+        complete_request = request_bytes("bad", "chat", 900, 36, "s")
         writer.write(
-            self.random.choice([b"", whole[:40], whole[:-5], b"\x00\xff nonsense\r\n\r\n", 3 * whole[:200]])
+            self.random.choice(
+                [
+                    b"",
+                    complete_request[:40],
+                    complete_request[:-5],
+                    b"\x00\xff nonsense\r\n\r\n",
+                    3 * complete_request[:200],
+                ]
+            )
         )
         if self.random.random() < 0.3:
             writer.transport.abort()
             return
-        began = monotonic()
+        started_at = monotonic()
         with suppress(TimeoutError, OSError):
             async with asyncio.timeout(4.0):
                 await reader.read(1)
-        waited = monotonic() - began
+        waited = monotonic() - started_at
         if front.ready:
             self.add_record(Record(monotonic(), RecordKind.WAITED, front.name, value=waited))
         writer.close()
--- a/heathford/soak/engine.py
+++ b/heathford/soak/engine.py
@@ -1,4 +1,4 @@
-"""Engines of the platform's protocol that read, write, fail and hold what was read, for the soak."""
+"""Engines with the platform's protocol for the soak: prefill, decode, failures and held prefill states."""
 
 import asyncio
 import re
@@ -17,22 +17,27 @@
 from heathford.standin.platform import STREAM, WORDS, Stand, chunk
 from heathford.wire.requests import RequestError, Request
 
-EVENTS_PER_STREAM = 6  # of a stream
+EVENTS_PER_STREAM = 6
 EVENT_INTERVAL = 0.05  # s
-PREFILL_DURATIONS = (0.01, 0.08)  # s, between
-DECODE_DURATIONS = (0.01, 0.08)  # s to the first event, between
-HANG_POLL_INTERVAL = 0.02  # s between two looks of an engine that hangs
+PREFILL_DURATIONS = (0.01, 0.08)  # s; shortest and longest
+DECODE_DURATIONS = (0.01, 0.08)  # s until the first event; shortest and longest
+HANG_POLL_INTERVAL = 0.02  # s between two checks of a hanging engine whether its connection is closed
 NOT_HELD = "gone"
 MAX_REQUEST_BYTES = 1 << 20
-EVENT_TIMESTAMP = re.compile(rb"t(\d+\.\d+);")  # in each event: when its engine wrote it
-LATE_EVENT_THRESHOLD = 0.1  # s from which an event that comes late is noted
+EVENT_TIMESTAMP = re.compile(
+    rb"t(\d+\.\d+);"
+)  # in each event: monotonic time in s at which the engine wrote it
+LATE_EVENT_THRESHOLD = 0.1  # s; only events with a longer delay are recorded
 
 RecordCallback = Callable[[Record], None]
 
 
 class SoakEngine(Stand):
-    """One engine. rooms: what prefill has left, by request, of all engines; wanted: how many decode attempts
-    wait for it."""
+    """One engine; prefill states are shared by all engines of a run.
+
+    held_states: the held prefill states, by request name. waiting_decodes: how many decode attempts wait
+    for the prefill state of a request.
+    """
 
     def __init__(
         self,
@@ -59,7 +64,7 @@
         self.state, self.boot_ms = "SERVING", 0
 
     def endpoint_entry(self, port: int) -> dict[str, Any]:
-        """As discovery tells it, behind a relay on that port."""
+        """Return the engine's entry of the endpoint list, with the port of its relay."""
         return {
             "uid": self.uid,
             "endpoint": f"127.0.0.1:{port}",
@@ -79,7 +84,7 @@
             self.readers.pop(writer, None)
 
     def front_closed(self, writer: asyncio.StreamWriter) -> bool:
-        """The front node has closed the connection: what it asked for there is not gone on with."""
+        """Return whether the front node has closed the connection, which abandons the attempt on it."""
         reader = self.readers.get(writer)
         return reader is None or reader.at_eof() or writer.is_closing()
 
@@ -89,7 +94,9 @@
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         name = request.headers.get("x-call-id", request.target.rpartition("/")[2])
         if request.method == "DELETE":
-            if not self.waiting_decodes.get(name):  # as the bench page has it: not what an attempt waits for
+            if not self.waiting_decodes.get(
+                name
+            ):  # a release does not free a state that a decode attempt waits for
                 self.held_states.pop(name, None)
             self.record(RecordKind.RELEASED, name)
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
@@ -124,7 +131,7 @@
 
     @contextmanager
     def waiting_for(self, name: str) -> Iterator[None]:
-        """A decode attempt waits for what prefill has left: a release leaves it."""
+        """Count a decode attempt that waits for a prefill state, which no release frees meanwhile."""
         self.waiting_decodes[name] += 1
         try:
             yield
@@ -132,7 +139,7 @@
             self.waiting_decodes[name] -= 1
 
     async def hang(self, name: str, writer: asyncio.StreamWriter) -> None:
-        """Say nothing until the front node closes the connection."""
+        """Answer nothing until the front node closes the connection."""
         with self.waiting_for(name) if not self.is_prefill else nullcontext():
             while not self.front_closed(writer):
                 await asyncio.sleep(HANG_POLL_INTERVAL)
@@ -142,7 +149,7 @@
         for number in range(EVENTS_PER_STREAM):
             if number:
                 await asyncio.sleep(EVENT_INTERVAL)
-            said = {
+            event = {
                 "choices": [
                     {
                         "index": 0,
@@ -151,26 +158,28 @@
                     }
                 ]
             }
-            writer.write(chunk(b"data: " + orjson.dumps(said) + b"\n\n"))
+            writer.write(chunk(b"data: " + orjson.dumps(event) + b"\n\n"))
         writer.write(chunk(b"data: [DONE]\n\n") + b"0\r\n\r\n")
         self.record(RecordKind.ENGINE_SAID, name, "stream")
 
 
 class EngineConnectionObserver(ConnectionObserver):
-    """One connection to an engine, as its relay sees it: which front node sends what, and when."""
+    """Records what a front node sends on one connection to an engine, and when; called by the relay."""
 
     def __init__(self, uid: str, add_record: RecordCallback) -> None:
         self.uid, self.add_record = uid, add_record
         self.request = Request(MAX_REQUEST_BYTES, MAX_REQUEST_BYTES)
         self.request_started = self.request_complete = False
-        self.name = ""
+        self.name = ""  # of the request whose attempt is not answered yet
 
     def sent(self, data: bytes) -> None:
         now = monotonic()
         try:
             self.request.feed(data)
         except RequestError:
-            self.add_record(Record(now, RecordKind.LOG, engine=self.uid, text="an engine was sent nonsense"))
+            self.add_record(
+                Record(now, RecordKind.LOG, engine=self.uid, text="an engine received a malformed request")
+            )
             return
         while True:
             if not self.request_started and self.request.method:
@@ -189,16 +198,18 @@
 
     def received(self, data: bytes) -> None:
         now = monotonic()
-        for stamp in EVENT_TIMESTAMP.findall(data):
-            late = now - float(stamp)
-            if late > LATE_EVENT_THRESHOLD:
+        for timestamp in EVENT_TIMESTAMP.findall(data):
+            delay = now - float(timestamp)
+            if delay > LATE_EVENT_THRESHOLD:
                 self.add_record(
-                    Record(now, RecordKind.EVENT_ON_THE_WAY, "", self.name, self.uid, late, stamp.decode())
+                    Record(
+                        now, RecordKind.EVENT_ON_THE_WAY, "", self.name, self.uid, delay, timestamp.decode()
+                    )
                 )
         if data.endswith(b"0\r\n\r\n") or (data.startswith(b"HTTP/1.1") and b"chunked" not in data):
             if self.name:
                 self.record(monotonic(), RecordKind.PASSED_ON)
-            self.name = ""  # answered whole: an end of the connection is no end of an attempt
+            self.name = ""  # the answer is complete: a close of the connection no longer gives up an attempt
 
     def closed(self) -> None:
         if self.name:
--- a/heathford/soak/front.py
+++ b/heathford/soak/front.py
@@ -1,4 +1,4 @@
-"""One front node as a process: started, signalled, measured, its log read."""
+"""One front node as a process: start, signals, restarts, resource measurements and checks of its log."""
 
 import asyncio
 import os
@@ -23,20 +23,18 @@
 
 RecordCallback = Callable[[Record], None]
 HOOK_FOLDER = Path(__file__).parent / "hook"
-KEPT_OUTPUT_LINES = 3  # lines that are no JSON, told of a process that ends unexpectedly
-MAX_COUNTED_DEADLINE = 3.0  # s of the deployment's longest deadline that count for the kill
-KILL_MARGIN = 0.7  # s after that, from SIGTERM, at which SIGKILL comes at the earliest
-NEW_CONNECTIONS_PERIOD = 0.3  # s from SIGTERM for which clients still open new ones
-STALL_ALLOWANCE = 0.15  # s for which a process may be held up, as the users state
-SIGNAL_SPACING = 0.002  # s between two signals of a series
+KEPT_OUTPUT_LINES = 3  # last lines on stderr that are not JSON, reported when a process ends unexpectedly
+MAX_COUNTED_DEADLINE = 3.0  # s; a longer deadline of the deployment does not delay SIGKILL any further
+KILL_MARGIN = 0.7  # s; SIGKILL follows SIGTERM after the deployment's longest deadline and this margin
+NEW_CONNECTIONS_PERIOD = 0.3  # s after SIGTERM in which clients may still open new connections
+STALL_ALLOWANCE = 0.15  # s for which a front node may be stopped, according to its specification
+SIGNAL_SPACING = 0.002  # s between two signals of SIGNAL_SERIES
 RESTART_FAULTS = (FaultKind.TERMINATE, FaultKind.KILL, FaultKind.SIGNAL_SERIES, FaultKind.STOP_AMID_END)
-INTERPRETER_START_TIME = (
-    5.0  # s: a signal before the program's first line ends the process; the pages exclude it
-)
-MIN_RELOAD_DELAY = 1.0  # s from a start, and ready: the pages send no SIGHUP before
-RELOAD_POLL_INTERVAL = 0.02  # s between two looks at that
-REPORTED_LEVELS = ("error", "critical")
-EXPECTED_ERRORS = ("configuration not taken",)
+INTERPRETER_START_TIME = 5.0  # s; SIGTERM may end a process at once before the program's first line runs
+MIN_RELOAD_DELAY = 1.0  # s from a start; operators send no SIGHUP earlier, nor before the node is ready
+RELOAD_POLL_INTERVAL = 0.02  # s between two checks whether SIGHUP may be sent
+REPORTED_LEVELS = ("error", "critical")  # log levels whose messages are recorded as errors
+EXPECTED_ERRORS = ("configuration not taken",)  # log events that faults of the soak cause
 CLOCK_STEPS = (5.0, -5.0, 3_600.0, -3_600.0)  # s by which the wall clock steps
 SHIM_FAULTS = frozenset(
     {
@@ -53,7 +51,12 @@
 
 
 class FrontProcess:
-    """shims: rows of what the hook is told. discoveries: where discovery may be, the present one first."""
+    """A front node that is restarted under the same name and port; its log is checked while it runs.
+
+    discovery_addresses: where its discovery listens; the first one is configured. shims: what
+    hook/sitecustomize.py injects into the process, as (kind, from, until, clock step); times in s on the
+    monotonic clock.
+    """
 
     def __init__(
         self,
@@ -74,11 +77,11 @@
         self.path = folder / f"{name}.json"
         self.process: asyncio.subprocess.Process | None = None
         self.log_task: asyncio.Task[None] | None = None
-        self.is_ending = False  # it was told to end, or killed
-        self.run_ended = False  # the run is
-        self.logged_violations = 0  # by this process, a line each
+        self.is_ending = False  # the present process was sent SIGTERM or SIGKILL
+        self.run_ended = False
+        self.logged_violations = 0  # by the present process: "rule violated" lines
         self.restart_lock = asyncio.Lock()
-        self.started_at = self.ready_at = inf  # s on the machine's clock, of the present process
+        self.started_at = self.ready_at = inf  # s on the monotonic clock, of the present process
 
     def configure(self) -> None:
         self.path.write_bytes(
@@ -120,7 +123,7 @@
 
     async def read_log(self, process: asyncio.subprocess.Process) -> None:
         assert process.stderr
-        began = monotonic()
+        started_at = monotonic()
         with (self.folder / f"{self.name}.log").open("ab", buffering=0) as log:
             while line := await process.stderr.readline():
                 log.write(line)
@@ -128,7 +131,7 @@
         status = await process.wait()
         self.address.ready = False
         if not self.run_ended:
-            early = status == -signal.SIGTERM and monotonic() - began < INTERPRETER_START_TIME
+            early = status == -signal.SIGTERM and monotonic() - started_at < INTERPRETER_START_TIME
             expected = self.is_ending and (status in (0, -signal.SIGKILL) or early)
             self.record(
                 RecordKind.EXIT,
@@ -138,22 +141,22 @@
 
     def check_log_line(self, line: bytes) -> None:
         try:
-            said = orjson.loads(line)
+            entry = orjson.loads(line)
         except orjson.JSONDecodeError:
             self.last_output_lines.append(line.decode(errors="replace").strip())
             if b"Traceback" in line or b"Error" in line:
                 self.record(RecordKind.LOG, text=line.decode(errors="replace").strip())
             return
-        if said.get("event") == "ready":
+        if entry.get("event") == "ready":
             self.address.ready = True
             self.ready_at = monotonic()
-        if said.get("event") == "rule violated":
+        if entry.get("event") == "rule violated":
             self.logged_violations += 1
-        counted = sum(said.get("violations", {}).values()) if said.get("event") == "state" else 0
-        if counted > self.logged_violations:
-            self.logged_violations = counted
-            self.record(RecordKind.LOG, text=f"violations counted, and not all told: {said['violations']}")
-        if said.get("level") in REPORTED_LEVELS and said.get("event") not in EXPECTED_ERRORS:
+        counted_violations = sum(entry.get("violations", {}).values()) if entry.get("event") == "state" else 0
+        if counted_violations > self.logged_violations:
+            self.logged_violations = counted_violations
+            self.record(RecordKind.LOG, text=f"violations counted, but not all logged: {entry['violations']}")
+        if entry.get("level") in REPORTED_LEVELS and entry.get("event") not in EXPECTED_ERRORS:
             self.record(RecordKind.LOG, text=line.decode()[:2_000].strip())
 
     def record(self, kind: RecordKind, value: float = 0.0, text: str = "") -> None:
@@ -164,11 +167,11 @@
             send_signal(self.process, number)
 
     def can_reload(self) -> bool:
-        """The pages: SIGHUP comes never in a process's first second, nor before it is ready."""
+        """Return whether SIGHUP may be sent: not in a process's first second, nor before it is ready."""
         return monotonic() >= max(self.started_at + MIN_RELOAD_DELAY, self.ready_at)
 
     async def inject(self, kind: FaultKind, seconds: float) -> None:
-        """A trouble of this process itself."""
+        """Inject a fault of the process itself and wait until it has ended."""
         if kind in (FaultKind.STOP_SHORT, FaultKind.STOP_LONG):
             self.send(signal.SIGSTOP)
             await asyncio.sleep(min(seconds, 0.15) if kind is FaultKind.STOP_SHORT else seconds)
@@ -180,7 +183,7 @@
             self.configure()
             self.send(signal.SIGHUP)
             await asyncio.sleep(0.01)
-            if self.can_reload():  # it may have been started anew since
+            if self.can_reload():  # false if the process has been restarted since
                 self.send(signal.SIGHUP)
         elif kind in RESTART_FAULTS:
             async with self.restart_lock:
@@ -192,23 +195,23 @@
             return
         self.is_ending = True
         if kind is not FaultKind.KILL:
-            told_at = monotonic()
+            terminated_at = monotonic()
             await self.terminate(kind)
-            await asyncio.sleep(told_at + NEW_CONNECTIONS_PERIOD - monotonic())
+            await asyncio.sleep(terminated_at + NEW_CONNECTIONS_PERIOD - monotonic())
             self.address.ready = False
             with suppress(TimeoutError):
-                async with asyncio.timeout(told_at + self.kill_delay - monotonic()):
+                async with asyncio.timeout(terminated_at + self.kill_delay - monotonic()):
                     await process.wait()
         self.address.ready = False
         self.send(signal.SIGCONT)
         send_signal(process, signal.SIGKILL)
         if self.log_task:
-            await asyncio.wait({self.log_task})  # a cancelled wait does not cancel what reads the log
+            await asyncio.wait({self.log_task})  # cancelling wait() does not cancel the log task
         if not self.run_ended:
             await self.start()
 
     async def terminate(self, kind: FaultKind) -> None:
-        """SIGTERM, alone or amid other signals."""
+        """Send SIGTERM, alone or together with the other signals of the fault."""
         reloaded = kind is FaultKind.SIGNAL_SERIES and self.can_reload()
         if reloaded:
             self.discovery_addresses.reverse()
@@ -230,10 +233,10 @@
         if not self.process or self.process.returncode is not None:
             return
         with suppress(OSError, StopIteration):
-            place = Path(f"/proc/{self.process.pid}")
-            descriptors = len(list((place / "fd").iterdir()))
+            proc_folder = Path(f"/proc/{self.process.pid}")
+            descriptors = len(list((proc_folder / "fd").iterdir()))
             memory = next(
-                line for line in (place / "status").read_text().splitlines() if line.startswith("VmRSS")
+                line for line in (proc_folder / "status").read_text().splitlines() if line.startswith("VmRSS")
             )
             self.record(RecordKind.MEASURE, descriptors, memory.split()[1])
 
--- a/heathford/soak/relay.py
+++ b/heathford/soak/relay.py
@@ -1,4 +1,4 @@
-"""A relay on the link to an engine or to a front node's discovery: brings the troubles of a network."""
+"""A relay on the link to an engine or to a front node's discovery that injects network faults."""
 
 import asyncio
 import socket
@@ -8,42 +8,42 @@
 from heathford.ports import reserved_port
 from heathford.soak.plan import FaultKind
 
-READ_SIZE = 65_536
-SMALL_RECEIVE_BUFFER = 4_096  # bytes: of a connection that is accepted and never read
-DRIP_INTERVAL = 0.002  # s from byte to byte
-DRIP_BYTES = 200  # that come byte by byte before the rest
-STEP_INTERVAL = 0.1  # s between two steps of a link that is read in steps: front nodes look after 0.12 s
-STEP_READ_TIME = 0.004  # s of a step: some tens of kilobytes
-DELAY = 0.2  # s by which a late link is late
+READ_SIZE = 65_536  # bytes
+SMALL_RECEIVE_BUFFER = 4_096  # bytes; for connections that are never read or read at intervals
+DRIP_INTERVAL = 0.002  # s between two bytes
+DRIP_BYTES = 200  # sent byte by byte before the rest of the data
+STEP_INTERVAL = 0.1  # s without reading; less than the 0.12 s after which front nodes check the progress
+STEP_READ_TIME = 0.004  # s; enough to read some tens of kilobytes
+DELAY = 0.2  # s
 SILENCE_FAULTS = (
     FaultKind.LINK_SILENT,
     FaultKind.DISCOVERY_SILENT,
     FaultKind.ENGINE_STOPPED,
-)  # read, and not passed on
+)  # data is read, but not passed on
 QUEUE_FILLERS = 2  # connections that fill an accept queue of length 0
-CUT_AFTER_BYTES = 90  # bytes of a piece that still pass
+CUT_AFTER_BYTES = 90  # of the data read at once, these bytes are still passed on
 
 
 class ConnectionObserver:
-    """Told of what passes on one connection, before any trouble."""
+    """Notified of what passes on one connection through a relay; does nothing itself."""
 
     def sent(self, data: bytes) -> None:
-        """By the front node."""
+        """Handle data that the front node sent, before a fault delays or drops it."""
 
     def received(self, data: bytes) -> None:
-        """By the front node, from the other side, after any trouble."""
+        """Handle data that is about to be passed on to the front node, after any fault."""
 
     def closed(self) -> None:
-        """The connection has ended, as far as the front node knows; may be told twice."""
+        """Handle the end of the connection as the front node sees it; may be called twice."""
 
 
 class Relay:
-    """Listens on a port of its own and passes on to `to`, under the troubles that hold now."""
+    """Listens on a port and passes data on to `target_address`, subject to the active faults."""
 
     def __init__(
-        self, target_address: Callable[[], tuple[str, int]], observer: Callable[[], ConnectionObserver]
+        self, target_address: Callable[[], tuple[str, int]], make_observer: Callable[[], ConnectionObserver]
     ) -> None:
-        self.target_address, self.make_observer = target_address, observer
+        self.target_address, self.make_observer = target_address, make_observer
         self.server: asyncio.Server | None = None
         self.port = 0
         self.active_faults: list[FaultKind] = []
@@ -51,8 +51,8 @@
         self.connections: dict[asyncio.StreamWriter, ConnectionObserver] = {}
         self.tasks: set[asyncio.Task[None]] = set()
         self.is_closed = False
-        self.reserved_socket: socket.socket | None = None  # keeps the port while nobody listens
-        self.queue_sockets: list[socket.socket] = []  # a listening socket that nobody accepts on, and fillers
+        self.reserved_socket: socket.socket | None = None  # keeps the port between two listening sockets
+        self.queue_sockets: list[socket.socket] = []  # a listening socket without accepts, and its fillers
 
     async def listen(self) -> None:
         if self.reserved_socket is None:
@@ -73,7 +73,7 @@
         changed.set()
 
     async def adjust_listening(self) -> None:
-        """Listen as the machine behind this link does now."""
+        """Start or stop listening according to the active faults."""
         refuses = FaultKind.LINK_REFUSED in self.active_faults
         stopped = FaultKind.ENGINE_STOPPED in self.active_faults and not refuses
         if refuses or stopped:
@@ -91,7 +91,7 @@
             self.server = None
 
     def fill_queue(self) -> None:
-        """New connections do not come up, as at a process that is stopped and accepts none."""
+        """Fill an accept queue, so that new connections are not established, as at a stopped process."""
         listener = socket.socket()
         listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
         listener.bind(("127.0.0.1", self.port))
@@ -110,7 +110,7 @@
 
     def reset_all(self) -> None:
         for writer, observer in list(self.connections.items()):
-            observer.closed()  # from now on, not from when the other task reads the end
+            observer.closed()  # now, not only once the other task has read the end of the stream
             writer.transport.abort()
 
     async def handle_connection(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -118,7 +118,7 @@
         assert task
         self.tasks.add(task)
         self.connections[writer] = observer = self.make_observer()
-        far_writer: asyncio.StreamWriter | None = None
+        target_writer: asyncio.StreamWriter | None = None
         try:
             if FaultKind.LINK_STEPS in self.active_faults:
                 self.read_in_steps(writer)
@@ -129,26 +129,26 @@
                 writer.transport.pause_reading()  # type: ignore[attr-defined]
             while FaultKind.LINK_UNREAD in self.active_faults:
                 await self.faults_changed.wait()
-            far_reader, far_writer = await asyncio.open_connection(*self.target_address())
-            self.connections[far_writer] = observer
+            target_reader, target_writer = await asyncio.open_connection(*self.target_address())
+            self.connections[target_writer] = observer
             with suppress(RuntimeError):
                 writer.transport.resume_reading()  # type: ignore[attr-defined]
             await asyncio.gather(
-                self.pump(reader, far_writer, observer.sent, observer.closed),
-                self.pump(far_reader, writer, lambda data: None, lambda: None, observer.received),
+                self.pump(reader, target_writer, observer.sent, observer.closed),
+                self.pump(target_reader, writer, lambda data: None, lambda: None, observer.received),
             )
         except OSError:
             pass
         finally:
             observer.closed()
             self.tasks.discard(task)
-            for end in (writer, far_writer):
+            for end in (writer, target_writer):
                 if end:
                     self.connections.pop(end, None)
                     end.close()
 
     def read_in_steps(self, writer: asyncio.StreamWriter) -> None:
-        """While that trouble lasts, this connection is read for a moment now and then."""
+        """Read the connection only for a moment at intervals while LINK_STEPS is active."""
 
         async def steps() -> None:
             transport = writer.transport
@@ -167,23 +167,26 @@
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        came: Callable[[bytes], None],
-        ended: Callable[[], None],
-        left: Callable[[bytes], None] = lambda data: None,
+        on_data: Callable[[bytes], None],
+        on_eof: Callable[[], None],
+        on_forward: Callable[[bytes], None] = lambda data: None,
     ) -> None:
-        read: asyncio.Queue[bytes] = asyncio.Queue()
-        reading = asyncio.create_task(read_all(reader, read, came, ended))
+        received: asyncio.Queue[bytes] = asyncio.Queue()
+        read_task = asyncio.create_task(read_all(reader, received, on_data, on_eof))
         try:
-            await self.forward(read, writer, left)
+            await self.forward(received, writer, on_forward)
         finally:
-            reading.cancel()
+            read_task.cancel()
 
     async def forward(
-        self, read: "asyncio.Queue[bytes]", writer: asyncio.StreamWriter, left: Callable[[bytes], None]
+        self,
+        received: "asyncio.Queue[bytes]",
+        writer: asyncio.StreamWriter,
+        on_forward: Callable[[bytes], None],
     ) -> None:
-        """What was read, under the troubles that hold then; up to an end."""
+        """Write what was received, subject to the faults active at that time, up to the end of the stream."""
         while True:
-            data = await read.get()
+            data = await received.get()
             while any(kind in self.active_faults for kind in SILENCE_FAULTS):
                 await self.faults_changed.wait()
             if FaultKind.LINK_DELAY in self.active_faults or FaultKind.DISCOVERY_SLOW in self.active_faults:
@@ -197,18 +200,18 @@
                 await writer.drain()
                 self.reset_all()
                 return
-            whole = data
+            complete_data = data
             if FaultKind.LINK_DRIP in self.active_faults:
-                for place in range(min(DRIP_BYTES, len(data))):
-                    writer.write(data[place : place + 1])
+                for index in range(min(DRIP_BYTES, len(data))):
+                    writer.write(data[index : index + 1])
                     await asyncio.sleep(DRIP_INTERVAL)
                 data = data[DRIP_BYTES:]
-            left(whole)
+            on_forward(complete_data)
             writer.write(data)
             await writer.drain()
 
     def close(self) -> None:
-        """End all connections, and listen no longer."""
+        """Stop listening and abort all connections."""
         self.is_closed = True
         self.stop_listening()
         self.empty_queue()
@@ -221,11 +224,14 @@
 
 async def read_all(
     reader: asyncio.StreamReader,
-    read: "asyncio.Queue[bytes]",
-    came: Callable[[bytes], None],
-    ended: Callable[[], None],
+    received: "asyncio.Queue[bytes]",
+    on_data: Callable[[bytes], None],
+    on_eof: Callable[[], None],
 ) -> None:
-    """Read and note what comes, and the end, at once: whatever trouble holds back what came before."""
+    """Queue and report data as soon as it arrives, even while a fault delays forwarding.
+
+    An empty item in the queue marks the end of the stream.
+    """
     data = b"-"
     while data:
         try:
@@ -233,7 +239,7 @@
         except OSError:
             data = b""
         if data:
-            came(data)
+            on_data(data)
         else:
-            ended()
-        read.put_nowait(data)
+            on_eof()
+        received.put_nowait(data)
--- a/heathford/soak/request_history.py
+++ b/heathford/soak/request_history.py
@@ -1,4 +1,4 @@
-"""What was seen of each request and of its attempts, put together from the records of a run."""
+"""The history of each request and of its attempts, assembled from the records of a run."""
 
 from collections import defaultdict
 from collections.abc import Iterable
@@ -8,12 +8,16 @@
 
 from heathford.soak.records import Record, RecordKind
 
-NOT_RUN_OUTCOMES = ("full", "gone")  # what an engine says of an attempt that it has not begun
+NOT_RUN_OUTCOMES = ("full", "gone")  # of attempts that their engine rejected without starting them
 
 
 @dataclass
 class Attempt:
-    """One attempt as the sockets saw it. told: s that its engine was told; outcome: what that said."""
+    """One attempt as observed on the sockets; times in s.
+
+    sent_budget: s, the time budget that the front node sent to the engine. outcome: what the engine
+    answered.
+    """
 
     engine: str
     first_byte_at: float
@@ -24,14 +28,16 @@
     outcome: str = ""
     answered_at: float = inf
     closed_at: float = inf
-    passed_on_at: float = inf  # when its answer had passed its link whole
+    passed_on_at: float = inf  # when the link had passed on the complete answer
 
     @property
     def has_run(self) -> bool:
+        """Whether it is a decode attempt that its engine may have executed."""
         return self.delivered_at < inf and not self.is_prefill and self.outcome not in NOT_RUN_OUTCOMES
 
     @property
     def ended_at(self) -> float:
+        """When the engine answered it or the front node closed its connection, whichever came first."""
         return min(self.answered_at, self.closed_at)
 
     def add(self, record: Record) -> None:
@@ -49,7 +55,7 @@
 
 @dataclass
 class RequestHistory:
-    """All that was seen of one request."""
+    """All that was recorded of one request; times and budget in s."""
 
     asked_at: float = inf
     budget: float = 0.0
@@ -63,7 +69,10 @@
     releases: list[float] = field(default_factory=list)
 
     def find_attempt(self, record: Record) -> Attempt | None:
-        """The latest at that engine of which this may be told: one that was given up may be read later."""
+        """Return the latest attempt at the record's engine that the record can belong to.
+
+        An engine may read an attempt after the front node gave it up.
+        """
         at_engine = [attempt for attempt in reversed(self.attempts) if attempt.engine == record.engine]
         if record.kind is RecordKind.DELIVERED:
             candidates = [attempt for attempt in at_engine if attempt.delivered_at == inf]
@@ -71,7 +80,9 @@
             candidates = [
                 attempt for attempt in at_engine if attempt.delivered_at < inf and not attempt.outcome
             ]
-        elif record.kind is RecordKind.GIVEN_UP:  # one attempt after another: the earlier one is closed first
+        elif (
+            record.kind is RecordKind.GIVEN_UP
+        ):  # attempts at one engine are closed in the order in which they were sent
             candidates = [a for a in reversed(at_engine) if a.closed_at == inf and not a.outcome]
         else:
             candidates = at_engine
@@ -99,17 +110,21 @@
 
 
 class StateStatus(Enum):
-    """What becomes of a state that prefill left."""
+    """What becomes of the prefill state of a request."""
 
-    FREE = "used or released"
-    HELD = "held, no attempt that has arrived is out"
-    IN_FLIGHT = "an attempt is out that takes it up"
-    ATTEMPT_ENDED = "that attempt has ended without"
+    FREE = "fetched or released"
+    HELD = "held, and no decode attempt has arrived at its engine"
+    IN_FLIGHT = "a decode attempt that will fetch it has arrived at its engine"
+    ATTEMPT_ENDED = "that attempt has ended without fetching it"
 
 
 @dataclass(frozen=True)
 class StateChange:
-    """since: s from which the limit counts, if it is held from then on; released: by a release."""
+    """A change of the status of a prefill state.
+
+    counted_from: s, when the limit for held states starts to count if the state is held from then on.
+    released: whether a release caused the change.
+    """
 
     time: float
     status: StateStatus
@@ -118,7 +133,7 @@
 
 
 def build_histories(records: Iterable[Record]) -> dict[str, RequestHistory]:
-    """By request; the records in the order of time."""
+    """Return the histories by request name; `records` must be in the order of time."""
     histories: dict[str, RequestHistory] = defaultdict(RequestHistory)
     for record in records:
         if record.request:
