--- a/heathford/soak/__init__.py
+++ b/heathford/soak/__init__.py
@@ -1,1 +1,4 @@
-"""A randomized soak of real front nodes: overlapping troubles, judged by what crossed the sockets."""
+"""A randomized soak test of real front nodes under overlapping faults.
+
+Run with `heathford soak faults`. An oracle checks what was observed on the sockets.
+"""
--- a/heathford/soak/hook/sitecustomize.py
+++ b/heathford/soak/hook/sitecustomize.py
@@ -1,7 +1,8 @@
-"""Loaded by Python at the start of a front node under the soak: system calls that fail, a clock that steps.
+"""Fault injection into front nodes of the soak: failing system calls and a stepping wall clock.
 
-The shims are told by SOAK_SHIMS, a JSON list of rows: what, from, until (s on the machine's monotonic clock),
-figure. The program itself knows nothing of it.
+The interpreter loads this module at its start, as its folder is on PYTHONPATH; the program itself does not
+know of it. SOAK_SHIMS is a JSON list of [kind, from, until, clock step] with times in s on the machine's
+monotonic clock; kind is the name of a FaultKind member. Only CLOCK uses the clock step, in s.
 """
 
 import errno
@@ -16,44 +17,50 @@
 from typing import Any
 
 SHIMS = json.loads(os.environ.get("SOAK_SHIMS", "[]"))
-CHANCE = 0.3  # of the calls in its time that a shim fails
-INTERRUPTED = 0.3  # of the short calls
-REFUSED = 0.2  # of the short calls
-NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-NOT_WATCHED = (errno.ENOMEM, errno.ENOSPC)
-BREAKS = 0.02  # of the calls on a connection while links break
-LOGS = 2  # the descriptor of standard error
-draw = random.Random(os.getpid())
-
-
-def active(what: str) -> float | None:
-    """The figure of a shim that holds now."""
+FAILURE_PROBABILITY = 0.3  # of a call while its shim is active
+EINTR_PROBABILITY = 0.3  # of a send or receive that the shim affects
+NO_MEMORY_PROBABILITY = 0.2  # of a send or receive that the shim affects
+NO_MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
+EPOLL_ERRORS = (errno.ENOMEM, errno.ENOSPC)
+BREAK_PROBABILITY = 0.02  # of a connection, at each send or receive during LINK_BREAKS
+LOG_DESCRIPTOR = 2  # standard error
+random_source = random.Random(os.getpid())
+
+
+def active_shim_value(kind: str) -> float | None:
+    """Return the clock step given with the active shim of that kind, or None if none is active."""
     now = time.monotonic()
     return next(
-        (figure for kind, since, until, figure in SHIMS if kind == what and since <= now < until), None
+        (
+            clock_step
+            for shim_kind, since, until, clock_step in SHIMS
+            if shim_kind == kind and since <= now < until
+        ),
+        None,
     )
 
 
-def fails(what: str) -> bool:
-    return active(what) is not None and draw.random() < CHANCE
+def should_fail(kind: str) -> bool:
+    """Return whether to fail the present call: at random while a shim of that kind is active."""
+    return active_shim_value(kind) is not None and random_source.random() < FAILURE_PROBABILITY
 
 
 def step_clock() -> None:
-    wall = time.time
+    real_time = time.time
 
-    def stepped() -> float:
-        return wall() + (active("CLOCK") or 0.0)
+    def stepped_time() -> float:
+        return real_time() + (active_shim_value("CLOCK") or 0.0)
 
-    time.time = stepped
+    time.time = stepped_time
 
 
 def fail_accept() -> None:
-    accept = socket.socket.accept
+    real_accept = socket.socket.accept
 
-    def accepted(self: socket.socket) -> Any:
-        if fails("ACCEPT_FAILS"):
+    def accept_or_fail(self: socket.socket) -> Any:
+        if should_fail("ACCEPT_FAILS"):
             raise OSError(
-                draw.choice(
+                random_source.choice(
                     (
                         errno.ENFILE,
                         errno.EMFILE,
@@ -65,139 +72,140 @@
                 ),
                 "shim",
             )
-        return accept(self)
+        return real_accept(self)
 
-    socket.socket.accept = accepted  # type: ignore[method-assign]
+    socket.socket.accept = accept_or_fail  # type: ignore[method-assign]
 
 
 def fail_connect() -> None:
-    connect = socket.socket.connect
+    real_connect = socket.socket.connect
 
-    def connected(self: socket.socket, address: Any) -> None:
-        if fails("CONNECT_FAILS"):
+    def connect_or_fail(self: socket.socket, address: Any) -> None:
+        if should_fail("CONNECT_FAILS"):
             raise OSError(
-                draw.choice(
+                random_source.choice(
                     (errno.EADDRNOTAVAIL, errno.ENETUNREACH, errno.ENOBUFS, errno.EMFILE, errno.ETIMEDOUT)
                 ),
                 "shim",
             )
-        connect(self, address)
+        real_connect(self, address)
 
-    socket.socket.connect = connected  # type: ignore[method-assign, assignment]
+    socket.socket.connect = connect_or_fail  # type: ignore[method-assign, assignment]
 
 
-def interrupt() -> None:
-    """Some of the calls that are cut short are interrupted or refused instead."""
-    part = draw.random()
-    if part < INTERRUPTED:
+def raise_at_random() -> None:
+    """Raise EINTR, ENOBUFS or ENOMEM instead of shortening a send or receive, at random."""
+    number = random_source.random()
+    if number < EINTR_PROBABILITY:
         raise InterruptedError(errno.EINTR, "shim")
-    if part < INTERRUPTED + REFUSED:
-        raise OSError(draw.choice(NO_MEMORY), "shim")
+    if number < EINTR_PROBABILITY + NO_MEMORY_PROBABILITY:
+        raise OSError(random_source.choice(NO_MEMORY_ERRORS), "shim")
 
 
 def break_link() -> None:
-    """A connection breaks now and then, as one whose peer has vanished."""
-    if active("LINK_BREAKS") is not None and draw.random() < BREAKS:
-        raise OSError(draw.choice((errno.ETIMEDOUT, errno.EHOSTUNREACH)), "shim")
+    """Break a connection at random while LINK_BREAKS is active, as if its peer had vanished."""
+    if active_shim_value("LINK_BREAKS") is not None and random_source.random() < BREAK_PROBABILITY:
+        raise OSError(random_source.choice((errno.ETIMEDOUT, errno.EHOSTUNREACH)), "shim")
 
 
 def fail_send() -> None:
-    send = socket.socket.send
+    real_send = socket.socket.send
 
-    def sent(self: socket.socket, data: Any, *flags: int) -> int:
-        if fails("SEND_SHORT"):
-            interrupt()
+    def send_or_fail(self: socket.socket, data: Any, *flags: int) -> int:
+        if should_fail("SEND_SHORT"):
+            raise_at_random()
             data = bytes(data)[: max(1, len(data) // 2)]
         break_link()
-        return send(self, data, *flags)
+        return real_send(self, data, *flags)
 
-    socket.socket.send = sent  # type: ignore[method-assign, assignment]
+    socket.socket.send = send_or_fail  # type: ignore[method-assign, assignment]
 
 
 def fail_recv() -> None:
-    recv = socket.socket.recv
+    real_recv = socket.socket.recv
 
-    def received(self: socket.socket, size: int, *flags: int) -> bytes:
-        if fails("RECV_SHORT"):
-            interrupt()
-            size = min(size, draw.randint(1, 40))
+    def recv_or_fail(self: socket.socket, size: int, *flags: int) -> bytes:
+        if should_fail("RECV_SHORT"):
+            raise_at_random()
+            size = min(size, random_source.randint(1, 40))
         break_link()
-        return recv(self, size, *flags)
+        return real_recv(self, size, *flags)
 
-    socket.socket.recv = received  # type: ignore[method-assign, assignment]
+    socket.socket.recv = recv_or_fail  # type: ignore[method-assign, assignment]
 
 
 def fail_logs() -> None:
-    write = os.write
+    real_write = os.write
 
-    def written(descriptor: int, data: Any) -> int:
-        if descriptor == LOGS and fails("LOG_FAILS"):
-            raise OSError(draw.choice((errno.ENOSPC, errno.EIO)), "shim")
-        return write(descriptor, data)
+    def write_or_fail(descriptor: int, data: Any) -> int:
+        if descriptor == LOG_DESCRIPTOR and should_fail("LOG_FAILS"):
+            raise OSError(random_source.choice((errno.ENOSPC, errno.EIO)), "shim")
+        return real_write(descriptor, data)
 
-    os.write = written
+    os.write = write_or_fail
 
 
 class Poll:
-    """As select.poll, whose objects can't be changed."""
+    """A failing select.poll(); wraps the real object, whose attributes can't be replaced."""
 
     def __init__(self) -> None:
-        self.real = POLL()
+        self.real = REAL_POLL()
         self.register, self.modify = self.real.register, self.real.modify
 
     def poll(self, timeout: float | None = None) -> list[tuple[int, int]]:
-        if fails("LOOKS_FAIL"):
+        if should_fail("LOOKS_FAIL"):
             raise OSError(errno.ENOMEM, "shim")
         return self.real.poll(timeout)
 
 
 class Epoll:
-    """As select.epoll, whose objects can't be changed."""
+    """A failing select.epoll(); wraps the real object, whose attributes can't be replaced."""
 
     def __init__(self) -> None:
-        self.real = EPOLL()
+        self.real = REAL_EPOLL()
         self.poll, self.fileno, self.close = self.real.poll, self.real.fileno, self.real.close
 
     def register(self, descriptor: int, events: int) -> None:
-        refuse_to_watch()
+        fail_epoll_ctl()
         self.real.register(descriptor, events)
 
     def modify(self, descriptor: int, events: int) -> None:
-        refuse_to_watch()
+        fail_epoll_ctl()
         self.real.modify(descriptor, events)
 
     def unregister(self, descriptor: int) -> None:
-        refuse_to_watch()
+        fail_epoll_ctl()
         self.real.unregister(descriptor)
 
 
-def refuse_to_watch() -> None:
-    if fails("LOOKS_FAIL"):
-        raise OSError(draw.choice(NOT_WATCHED), "shim")
+def fail_epoll_ctl() -> None:
+    if should_fail("LOOKS_FAIL"):
+        raise OSError(random_source.choice(EPOLL_ERRORS), "shim")
 
 
-POLL = select.poll
-EPOLL = select.epoll
+REAL_POLL = select.poll
+REAL_EPOLL = select.epoll
 
 
-def fail_looks() -> None:
-    shutdown, ioctl = socket.socket.shutdown, fcntl.ioctl
+def fail_polls() -> None:
+    """Make poll, epoll_ctl, shutdown and ioctl fail at random while LOOKS_FAIL is active."""
+    real_shutdown, real_ioctl = socket.socket.shutdown, fcntl.ioctl
 
-    def shut(self: socket.socket, how: int) -> None:
-        if fails("LOOKS_FAIL"):
+    def shutdown_or_fail(self: socket.socket, how: int) -> None:
+        if should_fail("LOOKS_FAIL"):
             raise OSError(errno.ENOTCONN, "shim")
-        shutdown(self, how)
+        real_shutdown(self, how)
 
-    def asked(descriptor: Any, *rest: Any) -> Any:
-        if fails("LOOKS_FAIL"):
+    def ioctl_or_fail(descriptor: Any, *rest: Any) -> Any:
+        if should_fail("LOOKS_FAIL"):
             raise OSError(errno.EINVAL, "shim")
-        return ioctl(descriptor, *rest)
+        return real_ioctl(descriptor, *rest)
 
     select.poll = Poll  # type: ignore[misc, assignment]
     select.epoll = Epoll  # type: ignore[misc, assignment]
     selectors.EpollSelector._selector_cls = Epoll  # type: ignore[attr-defined]
-    socket.socket.shutdown = shut  # type: ignore[method-assign, assignment]
-    fcntl.ioctl = asked
+    socket.socket.shutdown = shutdown_or_fail  # type: ignore[method-assign, assignment]
+    fcntl.ioctl = ioctl_or_fail
 
 
 if SHIMS:
@@ -207,4 +215,4 @@
     fail_send()
     fail_recv()
     fail_logs()
-    fail_looks()
+    fail_polls()
--- a/heathford/soak/oracle.py
+++ b/heathford/soak/oracle.py
@@ -1,4 +1,7 @@
-"""Judges a run by its records: the users' rules and terms. Shares no code with the program."""
+"""Checks the records of a run against the rules that front nodes have to keep.
+
+Shares no code with the front node, so that a fault there can't hide itself here.
+"""
 
 import re
 from collections.abc import Iterable, Mapping, Sequence
@@ -11,33 +14,33 @@
 from heathford.soak.relay import STEP_INTERVAL
 from heathford.soak.request_history import Attempt, StateStatus, StateChange, RequestHistory, build_histories
 
-ANSWER_SLACK = 0.5  # s past a client's time within which an answer only earns nothing
-HELD_SLACK = 0.3  # s beyond the pin limit
-CLIENT_GONE_SLACK = 0.1  # s after a client's close
-SENT_BUDGET_SLACK = 0.15  # s by which the deadline told may be more than what is left
-EVENT_SLACK = 0.3  # s in which an event is passed on
-LIST_CHANGE_SLACK = 6.0  # s after which a list change counts, whatever failed
-BAD_CLIENT_TIMEOUT = 3.0  # s in which a client that asks nothing whole is owed an answer or a close
-STALL_ALLOWANCE = 0.15  # s for which a front node may be held up
-ORDER_TOLERANCE = 0.005  # s in which the soak's own order of two connections says nothing
-SOAK_LAG_THRESHOLD = (
-    0.1  # s that the soak may be behind before what front nodes say of time is left to the records
-)
-SOAK_SLACK = 0.03  # s: the soak's own turns, where its lag says nothing
-FAULT_AFTEREFFECT = 1.0  # s before a time in which a trouble may still be felt there
-REFUSAL_STATUSES = (429, 503)
+ANSWER_SLACK = 0.5  # s past a client's deadline; an answer within it is worthless, but breaks no rule
+HELD_SLACK = 0.3  # s past the limit for held prefill states
+CLIENT_GONE_SLACK = 0.1  # s after a client's close in which an attempt may still be sent
+SENT_BUDGET_SLACK = 0.15  # s by which the budget sent to an engine may exceed the time left
+EVENT_SLACK = 0.3  # s that a front node may take to pass on an event
+LIST_CHANGE_SLACK = 6.0  # s after which a list change has to be in effect, whatever discovery faults occurred
+BAD_CLIENT_TIMEOUT = 3.0  # s within which a client without a complete request gets an answer or a close
+STALL_ALLOWANCE = 0.15  # s for which a front node may be stopped, according to its specification
+ORDER_TOLERANCE = 0.005  # s; events on two connections that are closer were recorded in arbitrary order
+SOAK_LAG_THRESHOLD = 0.1  # s; with more lag the records are judged, not what front nodes log about time
+SOAK_SLACK = 0.03  # s; covers lag of the soak below what it records
+FAULT_AFTEREFFECT = 1.0  # s for which a fault may have effects after its end
+REFUSAL_STATUSES = (429, 503)  # rate-limited answers, which promise that the request had no effect
 OVERDUE_LOG_LINE = re.compile(r'"completion": "([^"]+)".*"event": "overdue"')
-JUDGED_BY_RECORDS = ("overdue", '"HELD"', "'HELD'")
+JUDGED_BY_RECORDS = ("overdue", '"HELD"', "'HELD'")  # in log lines about time limits
 STOP_FAULTS = (
     FaultKind.STOP_SHORT,
     FaultKind.STOP_AMID_END,
     FaultKind.STOP_LONG,
-)  # all but the last for HELD_UP at most
-NEW_CONNECTIONS_PERIOD = 0.4  # s after SIGTERM up to which the pages have clients open new connections
-ACCEPT_PERIOD = 0.7  # s after SIGTERM up to which a request that SIGKILL finds unanswered is not lost
-EXIT_SLACK = 0.1  # s between a process's end and what its clients and the soak see of it
-MAX_TERMINATION_TIME = 4.0  # s from SIGTERM to the kill at most, and a little
-STREAM_BREAKING_FAULTS = (  # troubles that end a stream: its connections break, or its engine says nothing
+)  # all but the last stop a front node for STALL_ALLOWANCE at most
+NEW_CONNECTIONS_PERIOD = 0.4  # s after SIGTERM in which clients may still open new connections
+ACCEPT_PERIOD = (
+    0.7  # s after SIGTERM; SIGKILL may cut off the requests accepted until then, but no later ones
+)
+EXIT_SLACK = 0.1  # s between the end of a process and when its clients and the soak notice it
+MAX_TERMINATION_TIME = 4.0  # s from SIGTERM to SIGKILL, with a margin
+STREAM_BREAKING_FAULTS = (  # the stream's connections break, or its engine stays silent
     FaultKind.LINK_RESET,
     FaultKind.LINK_CUT,
     FaultKind.LINK_REFUSED,
@@ -46,7 +49,7 @@
     FaultKind.LINK_BREAKS,
     FaultKind.ENGINE_STOPPED,
 )
-DISCOVERY_DELAY_FAULTS = (  # troubles by which a change of the list is told later: the pages count 6 s then
+DISCOVERY_DELAY_FAULTS = (  # these delay list changes; LIST_CHANGE_SLACK applies then
     FaultKind.DISCOVERY_SILENT,
     FaultKind.DISCOVERY_SLOW,
     FaultKind.DISCOVERY_RESET,
@@ -55,14 +58,18 @@
     FaultKind.LINK_BREAKS,
     FaultKind.CONNECT_FAILS,
 )
-MAX_DESCRIPTOR_GROWTH = 120
-MAX_DESCRIPTORS = 400  # as the soak's configuration limits them
-MAX_MEMORY_GROWTH_KB = 40_000  # kB
+MAX_DESCRIPTOR_GROWTH = 120  # descriptors
+MAX_DESCRIPTORS = 400  # the limit that the soak configures
+MAX_MEMORY_GROWTH_KB = 40_000
 
 
 @dataclass(frozen=True)
 class Limits:
-    """As the settings say; times in s. effects: by class, as the settings name them."""
+    """The settings of the front nodes that the rules depend on; times in s.
+
+    effects: the idempotency of each request class, as the settings name it. cold_budget: requests that a
+    cold engine may get within cold_window.
+    """
 
     held_limit: float
     drain_grace: float
@@ -76,6 +83,8 @@
 
 @dataclass(frozen=True)
 class Breach:
+    """A rule broken during the run; times in s on the monotonic clock."""
+
     rule: str
     time: float
     request: str
@@ -83,13 +92,13 @@
 
 
 class Oracle:
-    """One run. Breaches are in the order of the checks."""
+    """Checks the records of one run; breaches are listed in the order of the checks."""
 
     def __init__(self, records: Iterable[Record], limits: Limits) -> None:
         self.records = sorted(records, key=lambda record: record.time)
         self.limits = limits
         self.breaches: list[Breach] = []
-        self.resent = 0  # requests whose kept connection ended under them: sent once more by clients
+        self.resent = 0  # requests that were lost unread, which their clients may send again
         self.histories = build_histories(self.records)
         self.fault_records = [record for record in self.records if record.kind is RecordKind.TROUBLE]
         self.prefill_engines = {
@@ -100,15 +109,18 @@
         self.lag_records = [record for record in self.records if record.kind is RecordKind.LAG]
         self.run_end = self.records[-1].time if self.records else 0.0
 
-    # What excuses.
+    # Faults and delays that excuse a deviation.
 
     def fault_active(
         self, since: float, until: float, *names: str, kinds: Sequence[FaultKind] = tuple(FaultKind)
     ) -> bool:
-        """A trouble of such a kind at one of these was felt in that time; without names, at anything."""
-        known = {kind.name for kind in kinds}
+        """Return whether a fault of these kinds had an effect between `since` and `until`.
+
+        names: front nodes and engines that the fault has to affect; any if there are none.
+        """
+        kind_names = {kind.name for kind in kinds}
         return any(
-            fault.text in known
+            fault.text in kind_names
             and fault.time <= until
             and fault.time + fault.value + FAULT_AFTEREFFECT >= since
             and (not names or fault.front in names or fault.engine in names)
@@ -116,18 +128,20 @@
         )
 
     def allowance(self, front: str, since: float, until: float) -> float:
-        """s for which the front node was stopped, or the soak itself behind."""
+        """Return the seconds for which the front node was stopped or the soak itself was late."""
         return self.stopped_time(front, since, until) + self.soak_lag(since, until) + SOAK_SLACK
 
     def soak_lag(self, since: float, until: float) -> float:
-        """s by which the soak's own turns were late then: what takes several turns meets them all."""
+        """Return the sum of the soak's event loop lag in s; work of several iterations meets all of it."""
         return sum(lag.value for lag in self.lag_records if since <= lag.time <= until + 1.0)
 
     def overdue_within_stall_allowance(self, record: Record) -> bool:
-        """It says that it answered by its last resort, and the answer came no later than a hold-up past the
-        client's time."""
-        found = OVERDUE_LOG_LINE.search(record.text)
-        history = self.histories.get(found[1]) if found else None
+        """Return whether a log line reports an overdue answer that was late by a tolerated stall at most.
+
+        The front node logs it when its last timer before the client's deadline had to answer.
+        """
+        match = OVERDUE_LOG_LINE.search(record.text)
+        history = self.histories.get(match[1]) if match else None
         return history is not None and any(
             answer.time
             <= history.asked_at
@@ -138,47 +152,51 @@
         )
 
     def step_delay(self, engine: str, at: float) -> float:
-        """s by which the relay of a link that is read in steps may note bytes and closes too late."""
-        felt = self.fault_active(at, at, engine, kinds=(FaultKind.LINK_STEPS,))
-        return STEP_INTERVAL if felt else 0.0
+        """Return the seconds by which a relay under LINK_STEPS may record bytes and closes too late."""
+        read_in_steps = self.fault_active(at, at, engine, kinds=(FaultKind.LINK_STEPS,))
+        return STEP_INTERVAL if read_in_steps else 0.0
 
     def soak_lagged(self, at: float) -> bool:
-        """The soak itself answered so late then that front nodes had to count it."""
+        """Return whether the soak itself was so late that front nodes may have logged it as delays."""
         return any(abs(lag.time - at) <= 1.0 and lag.value > SOAK_LAG_THRESHOLD for lag in self.lag_records)
 
     def stopped_time(self, front: str, since: float, until: float) -> float:
-        """s of that time for which the front node was stopped."""
+        """Return the seconds between `since` and `until` for which the front node was stopped."""
         names = {kind.name for kind in STOP_FAULTS}
         seconds = 0.0
         for fault in self.fault_records:
             if fault.front == front and fault.text in names:
-                long = fault.text == FaultKind.STOP_LONG.name
-                end = fault.time + (fault.value if long else min(fault.value, STALL_ALLOWANCE))
+                is_long = fault.text == FaultKind.STOP_LONG.name
+                end = fault.time + (fault.value if is_long else min(fault.value, STALL_ALLOWANCE))
                 seconds += max(0.0, min(until, end) - max(since, fault.time))
         return seconds
 
     def stopped_too_long(self, front: str, since: float, until: float) -> bool:
-        """It was stopped for longer than the pages allow, in that time or since it was told to end: then it
-        does not know how soon it is killed."""
-        told = [record.time for record in self.termination_records if record.front == front]
-        ends = [time for time in told if until - MAX_TERMINATION_TIME <= time <= until]
-        return self.stopped_time(front, min([since, *ends]), until) > STALL_ALLOWANCE + SOAK_SLACK
+        """Return whether the front node was stopped for longer than STALL_ALLOWANCE.
+
+        Stops since its SIGTERM count as well: after a long one it does not know how soon SIGKILL follows.
+        """
+        all_terminations = [record.time for record in self.termination_records if record.front == front]
+        recent = [time for time in all_terminations if until - MAX_TERMINATION_TIME <= time <= until]
+        return self.stopped_time(front, min([since, *recent]), until) > STALL_ALLOWANCE + SOAK_SLACK
 
     def connected_too_late(self, history: RequestHistory) -> bool:
-        """It came first on a connection that was opened later after SIGTERM than the pages have it, to the
-        process that was told to end: one that has started since owes it an answer."""
-        told = [
+        """Return whether the request was sent to a terminating process after NEW_CONNECTIONS_PERIOD.
+
+        A process that has started since then has to answer it.
+        """
+        terminations = [
             r.time
             for r in self.termination_records
             if r.front == history.front and r.time <= history.asked_at
         ]
-        if not told:
+        if not terminations:
             return False
-        ended = any(
-            ended.front == history.front and told[-1] < ended.time <= history.asked_at
-            for ended in self.exit_records
+        has_exited = any(
+            exited.front == history.front and terminations[-1] < exited.time <= history.asked_at
+            for exited in self.exit_records
         )
-        return not ended and history.asked_at > told[-1] + NEW_CONNECTIONS_PERIOD
+        return not has_exited and history.asked_at > terminations[-1] + NEW_CONNECTIONS_PERIOD
 
     def killed(self, front: str, since: float, until: float) -> bool:
         return any(
@@ -187,16 +205,20 @@
         )
 
     def killed_while_terminating(self, history: RequestHistory, at: float) -> bool:
-        """The protocol page, "Figures": what SIGKILL finds unanswered after SIGTERM is lost if it came more
-        than 0.7 s after SIGTERM, and not otherwise."""
+        """Return whether SIGKILL after SIGTERM excuses that the request is unanswered.
+
+        The protocol specification, "Figures": requests that are unanswered at SIGKILL count as lost if they
+        came more than 0.7 s after SIGTERM, and only then.
+        """
         return any(
-            ended.front == history.front
-            and ended.value == -SIGKILL
-            and abs(ended.time - at) <= EXIT_SLACK
-            and history.asked_at <= told.time + ACCEPT_PERIOD
-            for ended in self.exit_records
-            for told in self.termination_records
-            if told.front == history.front and 0.0 <= ended.time - told.time <= MAX_TERMINATION_TIME
+            exited.front == history.front
+            and exited.value == -SIGKILL
+            and abs(exited.time - at) <= EXIT_SLACK
+            and history.asked_at <= termination.time + ACCEPT_PERIOD
+            for exited in self.exit_records
+            for termination in self.termination_records
+            if termination.front == history.front
+            and 0.0 <= exited.time - termination.time <= MAX_TERMINATION_TIME
         )
 
     def add_breach(self, rule: str, time: float, request: str, detail: str) -> None:
@@ -205,6 +227,7 @@
     # The checks.
 
     def judge(self) -> list[Breach]:
+        """Run all checks and return the breaches; to be called once."""
         for name, history in self.histories.items():
             if history.asked_at < inf:
                 self.check_one_answer(name, history)
@@ -231,11 +254,11 @@
                 or history.left_at < inf
                 or self.stopped_too_long(history.front, history.asked_at, lost.time)
             ):
-                continue  # the pages: a front node may be held up for 0.15 s, not for longer
-            unread = not history.attempts  # the pages: it is sent once more where it was not read
-            crowded = self.fault_active(lost.time, lost.time, history.front, kinds=(FaultKind.CROWD,))
-            uncalled = lost.text == "new" and self.connected_too_late(history)
-            if unread and (lost.text == "reused" or crowded or uncalled):
+                continue  # the specification allows stops of 0.15 s, not longer ones
+            unread = not history.attempts  # clients send a request again if it was not read
+            crowd_active = self.fault_active(lost.time, lost.time, history.front, kinds=(FaultKind.CROWD,))
+            too_late = lost.text == "new" and self.connected_too_late(history)
+            if unread and (lost.text == "reused" or crowd_active or too_late):
                 self.resent += 1
             else:
                 self.add_breach("1 one answer", lost.time, name, f"lost: {lost.text}")
@@ -254,34 +277,34 @@
                     history.asked_at, cut.time, history.front, *engines, kinds=STREAM_BREAKING_FAULTS
                 )
             ):
-                self.add_breach("1 one answer", cut.time, name, "a stream was cut without any trouble")
+                self.add_breach("1 one answer", cut.time, name, "a stream was cut off without a fault")
 
     def check_effects(self, name: str, history: RequestHistory) -> None:
         for earlier, later in zip(history.attempts, history.attempts[1:], strict=False):
-            overlap = min(earlier.ended_at, later.last_byte_at) if later.last_byte_at < inf else inf
-            # A relay that does not read sees neither when an attempt was written nor when it was closed.
-            unseen = self.fault_active(
+            overlap_end = min(earlier.ended_at, later.last_byte_at) if later.last_byte_at < inf else inf
+            # A relay that does not read notices neither when an attempt was written nor when it was closed.
+            unobserved = self.fault_active(
                 earlier.first_byte_at,
                 later.last_byte_at,
                 earlier.engine,
                 later.engine,
                 kinds=(FaultKind.LINK_UNREAD,),
             )
-            # A close and a send of the same moment reach the relay on two connections, in either order.
-            apart = earlier.ended_at - later.last_byte_at > ORDER_TOLERANCE + self.step_delay(
+            # A close and a send at the same time reach the relay on two connections, in either order.
+            exceeds_tolerance = earlier.ended_at - later.last_byte_at > ORDER_TOLERANCE + self.step_delay(
                 earlier.engine, later.last_byte_at
             )
             if (
                 earlier.last_byte_at < later.last_byte_at < inf
-                and overlap == later.last_byte_at
-                and apart
-                and not unseen
+                and overlap_end == later.last_byte_at
+                and exceeds_tolerance
+                and not unobserved
             ):
                 self.add_breach(
                     "2 no two out",
                     later.last_byte_at,
                     name,
-                    f"{earlier.engine} is out, {later.engine} gets it",
+                    f"in flight at {earlier.engine} when {later.engine} got the next attempt",
                 )
         ran = [attempt for attempt in history.attempts if attempt.has_run]
         effect = self.limits.effects.get(history.request_class, "free")
@@ -293,7 +316,7 @@
                     "2 harmless refusals",
                     answer.time,
                     name,
-                    f"{effect}: refused, has run at {ran[0].engine}",
+                    f"{effect}: rate-limited, although it ran at {ran[0].engine}",
                 )
         if effect == "single_shot" and len(ran) > 1:
             self.add_breach(
@@ -311,7 +334,7 @@
             if self.fault_active(
                 attempt.first_byte_at, attempt.first_byte_at, attempt.engine, kinds=(FaultKind.LINK_UNREAD,)
             ):
-                continue  # noted when it was read, long after it was written
+                continue  # recorded when it was read, long after it was written
             late = (
                 attempt.first_byte_at
                 - history.left_at
@@ -323,136 +346,148 @@
                     "client gone",
                     attempt.first_byte_at,
                     name,
-                    f"an attempt {late + CLIENT_GONE_SLACK:.3f} s after its close",
+                    f"an attempt {late + CLIENT_GONE_SLACK:.3f} s after the client's close",
                 )
 
     def check_sent_deadline(self, name: str, history: RequestHistory) -> None:
         for attempt in history.attempts:
             if attempt.last_byte_at < inf:
-                more = attempt.sent_budget - (history.asked_at + history.budget - attempt.last_byte_at)
-                more -= self.step_delay(attempt.engine, attempt.last_byte_at)
-                # An unread link's bytes are noted when they are read, long after they were written.
+                excess = attempt.sent_budget - (history.asked_at + history.budget - attempt.last_byte_at)
+                excess -= self.step_delay(attempt.engine, attempt.last_byte_at)
+                # Bytes on an unread link are recorded when they are read, long after they were written.
                 unread = self.fault_active(
                     attempt.last_byte_at, attempt.last_byte_at, attempt.engine, kinds=(FaultKind.LINK_UNREAD,)
                 )
-                if not unread and more > SENT_BUDGET_SLACK + self.allowance(
+                if not unread and excess > SENT_BUDGET_SLACK + self.allowance(
                     history.front, history.asked_at, attempt.last_byte_at
                 ):
                     self.add_breach(
-                        "deadline told", attempt.last_byte_at, name, f"{more:.3f} s more than is left"
+                        "deadline told", attempt.last_byte_at, name, f"{excess:.3f} s more than the time left"
                     )
 
     def check_held_states(self, name: str, history: RequestHistory) -> None:
-        """Each time in which a state is held and no attempt that has arrived is out."""
-        steps = [StateChange(at, StateStatus.FREE, at, released=True) for at in history.releases]
+        """Check each period in which a prefill state is held and no arrived decode attempt is in flight."""
+        changes = [StateChange(at, StateStatus.FREE, at, released=True) for at in history.releases]
         for attempt in history.attempts:
-            steps += self.state_changes(history, attempt)
+            changes += self.state_changes(history, attempt)
             if attempt.outcome == "read" and attempt.closed_at < attempt.answered_at:
                 self.check_late_prefill(name, history, attempt)
         since, status = inf, StateStatus.FREE
-        steps.sort(key=lambda step: step.time)
-        for step in [*steps, StateChange(self.run_end, StateStatus.FREE, self.run_end)]:
+        changes.sort(key=lambda change: change.time)
+        for change in [*changes, StateChange(self.run_end, StateStatus.FREE, self.run_end)]:
             if status is StateStatus.HELD:
-                self.check_held_time(name, history, since, step.time)
-            if step.status is StateStatus.ATTEMPT_ENDED and status is not StateStatus.IN_FLIGHT:
+                self.check_held_time(name, history, since, change.time)
+            if change.status is StateStatus.ATTEMPT_ENDED and status is not StateStatus.IN_FLIGHT:
                 continue
-            if step.status is StateStatus.IN_FLIGHT and status is StateStatus.FREE:
+            if change.status is StateStatus.IN_FLIGHT and status is StateStatus.FREE:
                 continue
-            if step.status is StateStatus.FREE and step.released and status is StateStatus.IN_FLIGHT:
-                continue  # the bench page: a release leaves what an attempt waits for
-            since = step.counted_from
-            status = StateStatus.HELD if step.status is StateStatus.ATTEMPT_ENDED else step.status
+            if change.status is StateStatus.FREE and change.released and status is StateStatus.IN_FLIGHT:
+                continue  # a release does not free a state that a decode attempt waits for
+            since = change.counted_from
+            status = StateStatus.HELD if change.status is StateStatus.ATTEMPT_ENDED else change.status
 
     def state_changes(self, history: RequestHistory, attempt: Attempt) -> "list[StateChange]":
         if attempt.outcome == "read":
             if attempt.closed_at < attempt.answered_at:
-                return []  # judged by `late_read`
-            # Without its whole answer the attempt is out until it is given up, at its time at the latest.
-            given_up = min(attempt.closed_at, attempt.first_byte_at + attempt.sent_budget)
-            unheard = attempt.passed_on_at == inf or attempt.closed_at < inf
-            since = given_up if unheard else attempt.passed_on_at
+                return []  # see check_late_prefill
+            # Without its complete answer an attempt is in flight until it is given up, at the latest when its
+            # budget is used up.
+            given_up_at = min(attempt.closed_at, attempt.first_byte_at + attempt.sent_budget)
+            answer_incomplete = attempt.passed_on_at == inf or attempt.closed_at < inf
+            since = given_up_at if answer_incomplete else attempt.passed_on_at
             return [StateChange(attempt.answered_at, StateStatus.HELD, max(attempt.answered_at, since))]
-        # Only what an engine has read is out: a relay, a kernel or a stopped process may keep the rest.
-        arrived = attempt.delivered_at
-        if arrived == inf or attempt.is_prefill or attempt.engine in self.prefill_engines:
+        # Only attempts that an engine has read count; a relay, a kernel or a stopped process may hold others.
+        arrived_at = attempt.delivered_at
+        if arrived_at == inf or attempt.is_prefill or attempt.engine in self.prefill_engines:
             return []
         if attempt.outcome == "gone":
             return [
-                StateChange(arrived, StateStatus.FREE, arrived)
-            ]  # its engine has found that nothing is held
+                StateChange(arrived_at, StateStatus.FREE, arrived_at)
+            ]  # the engine has found no held state
         if attempt.outcome == "stream":
-            return [StateChange(arrived, StateStatus.FREE, arrived)]
-        out = StateChange(arrived, StateStatus.IN_FLIGHT, arrived)
+            return [StateChange(arrived_at, StateStatus.FREE, arrived_at)]
+        in_flight = StateChange(arrived_at, StateStatus.IN_FLIGHT, arrived_at)
         return (
-            [out, StateChange(attempt.ended_at, StateStatus.ATTEMPT_ENDED, attempt.ended_at)]
+            [in_flight, StateChange(attempt.ended_at, StateStatus.ATTEMPT_ENDED, attempt.ended_at)]
             if attempt.ended_at < inf
-            else [out]
+            else [in_flight]
         )
 
-    def check_late_prefill(self, name: str, history: RequestHistory, read: Attempt) -> None:
-        """The protocol page: what a read has left that ended well as its connection was closed is held like
-        any other state. While another attempt is out the limit does not run; by the bench page all goes with
-        a stream's first event, and by itself what a read leaves that its engine got after it was given up."""
-        if read.delivered_at > read.closed_at:
+    def check_late_prefill(self, name: str, history: RequestHistory, late_attempt: Attempt) -> None:
+        """Check the state of a prefill attempt that succeeded although its connection had been closed.
+
+        The protocol specification: it is held like any other state, and the limit does not run while another
+        attempt is in flight. The first event of a stream frees all states of the request. A state whose
+        prefill attempt its engine read only after the close is freed by the engine itself.
+        """
+        if late_attempt.delivered_at > late_attempt.closed_at:
             return
-        since = read.answered_at
+        since = late_attempt.answered_at
         for attempt in sorted(history.attempts, key=lambda attempt: attempt.first_byte_at):
             if attempt.delivered_at <= since + self.limits.held_limit and since < attempt.ended_at < inf:
                 since = attempt.ended_at
-        ends = [time for time in history.releases if time >= read.answered_at]
-        ends += [
+        freed_at = [time for time in history.releases if time >= late_attempt.answered_at]
+        freed_at += [
             a.answered_at
             for a in history.attempts
-            if a.outcome == "stream" and a.answered_at >= read.answered_at
+            if a.outcome == "stream" and a.answered_at >= late_attempt.answered_at
         ]
-        self.check_held_time(name, history, since, min(ends, default=self.run_end))
+        self.check_held_time(name, history, since, min(freed_at, default=self.run_end))
 
     def check_held_time(self, name: str, history: RequestHistory, since: float, until: float) -> None:
         limit = self.limits.held_limit + HELD_SLACK + self.allowance(history.front, since, until)
         excused = self.killed(history.front, history.asked_at, since + limit) or any(
-            ended.front == history.front and history.asked_at <= ended.time <= since + limit
-            for ended in self.exit_records
+            exited.front == history.front and history.asked_at <= exited.time <= since + limit
+            for exited in self.exit_records
         )
         if until - since > limit and since + limit < self.run_end and not excused:
             self.add_breach("5 held", since + limit, name, f"held for {until - since:.3f} s")
 
     def check_drains(self) -> None:
-        """From when a front node's discovery has told of it; later where that or the front was in trouble."""
-        for told in self.records:
-            if told.kind is not RecordKind.DRAINED:
+        """Check that no attempt goes to a draining engine after the grace period.
+
+        It starts when a front node's discovery announces the drain, and is longer if a fault delayed that.
+        """
+        for drain_record in self.records:
+            if drain_record.kind is not RecordKind.DRAINED:
                 continue
-            troubled = self.fault_active(
-                told.time - 2.0, told.time + 1.0, told.front, kinds=DISCOVERY_DELAY_FAULTS
+            is_delayed = self.fault_active(
+                drain_record.time - 2.0,
+                drain_record.time + 1.0,
+                drain_record.front,
+                kinds=DISCOVERY_DELAY_FAULTS,
             )
-            most = max(
+            last_fault_end = max(
                 (
                     t.time + t.value
                     for t in self.fault_records
-                    if t.front == told.front and t.time <= told.time + LIST_CHANGE_SLACK
+                    if t.front == drain_record.front and t.time <= drain_record.time + LIST_CHANGE_SLACK
                 ),
-                default=told.time,
+                default=drain_record.time,
             )
             limit = (
-                max(told.time, most) + LIST_CHANGE_SLACK if troubled else told.time + self.limits.drain_grace
+                max(drain_record.time, last_fault_end) + LIST_CHANGE_SLACK
+                if is_delayed
+                else drain_record.time + self.limits.drain_grace
             )
             for name, history in self.histories.items():
                 for attempt in history.attempts:
                     late = attempt.first_byte_at - limit
                     if (
-                        history.front == told.front
-                        and attempt.engine == told.engine
-                        and late > self.allowance(told.front, limit - 0.5, attempt.first_byte_at)
+                        history.front == drain_record.front
+                        and attempt.engine == drain_record.engine
+                        and late > self.allowance(drain_record.front, limit - 0.5, attempt.first_byte_at)
                     ):
                         self.add_breach(
                             "3 drain",
                             attempt.first_byte_at,
                             name,
-                            f"to {told.engine}, {late:.3f} s past the grace",
+                            f"to {drain_record.engine}, {late:.3f} s past the grace period",
                         )
 
     def check_slow_start(self) -> None:
         budget = self.limits.cold_budget
-        most = budget + (3 * sqrt(budget) + 3 if budget < 30 else 2 * sqrt(budget) + 2)
+        max_attempts = budget + (3 * sqrt(budget) + 3 if budget < 30 else 2 * sqrt(budget) + 2)
         for cold in self.records:
             if cold.kind is not RecordKind.COLD:
                 continue
@@ -463,15 +498,20 @@
                 if a.engine == cold.engine
                 and cold.time <= a.first_byte_at < cold.time + self.limits.warm_after
             )
-            for place, at in enumerate(times):
-                count = sum(at <= other < at + self.limits.cold_window for other in times[place:])
-                if count > most:
-                    self.add_breach("4 cold", at, "", f"{cold.engine} got {count}, {most:.1f} are allowed")
+            for index, at in enumerate(times):
+                count = sum(at <= other < at + self.limits.cold_window for other in times[index:])
+                if count > max_attempts:
+                    self.add_breach(
+                        "4 cold", at, "", f"{cold.engine} got {count}, {max_attempts:.1f} are allowed"
+                    )
                     break
 
     def check_event_delays(self) -> None:
-        """An event's time counts from when its link passed it on: a cut holds it back before that."""
-        on_the_way = {
+        """Check how long front nodes took for events, from when the link passed them on.
+
+        Delays before that are the link's.
+        """
+        link_delays = {
             (record.request, record.text): record.value
             for record in self.records
             if record.kind is RecordKind.EVENT_ON_THE_WAY
@@ -479,7 +519,7 @@
         for record in self.records:
             if record.kind is not RecordKind.LATE_EVENT:
                 continue
-            held_back = record.value - on_the_way.get((record.request, record.text), 0.0)
+            held_back = record.value - link_delays.get((record.request, record.text), 0.0)
             front = self.histories[record.request].front
             since = record.time - held_back
             if held_back - EVENT_SLACK > self.allowance(front, since, record.time):
@@ -493,8 +533,8 @@
                     "crash", record.time, record.front, f"status {record.value:.0f}, {record.text}"
                 )
             elif record.kind is RecordKind.WAITED:
-                over = record.value - BAD_CLIENT_TIMEOUT
-                if over > self.allowance(record.front, record.time - record.value, record.time):
+                excess = record.value - BAD_CLIENT_TIMEOUT
+                if excess > self.allowance(record.front, record.time - record.value, record.time):
                     self.add_breach(
                         "bad client", record.time, record.front, f"waited for {record.value:.3f} s"
                     )
@@ -506,22 +546,26 @@
                     or self.soak_lagged(record.time)
                 )
             ):
-                continue  # its time went by while it, or the soak, stood still: the records are judged
+                continue  # the front node or the soak was stopped meanwhile: the records are judged instead
             elif record.kind is RecordKind.LOG and self.overdue_within_stall_allowance(record):
-                continue  # the pages: a front node may be held up for 0.15 s
+                continue  # the specification allows stops of 0.15 s
             elif record.kind is RecordKind.LOG:
                 self.add_breach("log", record.time, record.request or record.front, record.text[:600])
             elif record.kind is RecordKind.MEASURE:
-                begin = first.setdefault(record.front, record)
-                crowded = self.fault_active(record.time, record.time, record.front, kinds=(FaultKind.CROWD,))
+                baseline = first.setdefault(record.front, record)
+                crowd_active = self.fault_active(
+                    record.time, record.time, record.front, kinds=(FaultKind.CROWD,)
+                )
                 if record.value > MAX_DESCRIPTORS or (
-                    record.value > begin.value + MAX_DESCRIPTOR_GROWTH and not crowded
+                    record.value > baseline.value + MAX_DESCRIPTOR_GROWTH and not crowd_active
                 ):
                     self.add_breach(
                         "descriptors",
                         record.time,
                         record.front,
-                        f"{begin.value:.0f} to {record.value:.0f}",
+                        f"{baseline.value:.0f} to {record.value:.0f}",
+                    )
+                if int(record.text) > int(baseline.text) + MAX_MEMORY_GROWTH_KB:
+                    self.add_breach(
+                        "memory", record.time, record.front, f"{baseline.text} to {record.text} kB"
                     )
-                if int(record.text) > int(begin.text) + MAX_MEMORY_GROWTH_KB:
-                    self.add_breach("memory", record.time, record.front, f"{begin.text} to {record.text} kB")
--- a/heathford/soak/report.py
+++ b/heathford/soak/report.py
@@ -1,4 +1,4 @@
-"""Runs many seeds, and tells what was found and what was never met."""
+"""Runs plans from many seeds and reports breaches and the pairs of faults that never overlapped."""
 
 import asyncio
 from collections import Counter
@@ -14,18 +14,23 @@
 from heathford.soak.records import Record, RecordKind
 from heathford.soak.run import SoakRun
 
-SHRINK_TRIES = 12
+SHRINK_MAX_RUNS = 12  # runs
 
 PrintLine = Callable[[str], None]
 
 
 @dataclass
 class Outcome:
-    """One run, judged."""
+    """The results of one run.
+
+    request_count: requests sent by clients. answers: final answers, by status. lost, cut: requests without
+    an answer, streams cut off. resent: lost requests that their clients may send again. lag: s, the longest
+    of the soak's own event loop.
+    """
 
     plan: Plan
     breaches: list[Breach]
-    asked: int
+    request_count: int
     answers: Counter[int]
     lost: int
     cut: int
@@ -34,6 +39,7 @@
 
 
 def judge_records(plan: Plan, records: Iterable[Record], limits: Limits) -> Outcome:
+    """Return the outcome of a run after checking its records."""
     records = list(records)
     oracle = Oracle(records, limits)
     breaches = oracle.judge()
@@ -51,12 +57,12 @@
 
 
 def run_plan(plan: Plan, fronts: int, folder: Path) -> Outcome:
-    """Run a plan and judge it; the records and the front nodes' logs stay in the folder."""
-    world = SoakRun(plan, fronts, folder)
-    records = asyncio.run(world.run())
-    with (folder / "records.jsonl").open("wb") as out:
+    """Run a plan and check it; writes plan.json, records.jsonl and the front nodes' logs to the folder."""
+    soak_run = SoakRun(plan, fronts, folder)
+    records = asyncio.run(soak_run.run())
+    with (folder / "records.jsonl").open("wb") as file:
         for record in records:
-            out.write(
+            file.write(
                 orjson.dumps(
                     [
                         record.time,
@@ -71,36 +77,40 @@
                 + b"\n"
             )
     (folder / "plan.json").write_text(plan.to_json())
-    return judge_records(plan, records, world.limits)
+    return judge_records(plan, records, soak_run.limits)
 
 
 def print_outcome(outcome: Outcome, print_line: PrintLine) -> None:
     plan = outcome.plan
     answers = ", ".join(f"{status}: {count}" for status, count in sorted(outcome.answers.items()))
     print_line(
-        f"seed {plan.seed}: {outcome.asked} asked ({answers}; lost {outcome.lost}, cut {outcome.cut}, "
-        f"crossed {outcome.resent}), {len(plan.faults)} troubles, own lag {outcome.lag:.3f} s, "
-        f"{len(outcome.breaches)} breaches"
+        f"seed {plan.seed}: {outcome.request_count} asked ({answers}; lost {outcome.lost}, "
+        f"cut {outcome.cut}, resent {outcome.resent}), {len(plan.faults)} faults, "
+        f"own lag {outcome.lag:.3f} s, {len(outcome.breaches)} breaches"
     )
     for rule, count in Counter(breach.rule for breach in outcome.breaches).items():
         first = next(breach for breach in outcome.breaches if breach.rule == rule)
         print_line(f"  {count} x {rule}: at {first.time:.3f} {first.request}: {first.detail}")
 
 
-def find_unmet_pairs(plans: Iterable[Plan]) -> list[str]:
-    """Pairs of troubles that touched in none of the plans."""
-    met = set().union(*(plan.overlapping_kinds for plan in plans))
+def find_missing_pairs(plans: Iterable[Plan]) -> list[str]:
+    """Return the pairs of fault kinds that overlap in none of the plans, as A+B."""
+    overlapping = set().union(*(plan.overlapping_kinds for plan in plans))
     return [
         f"{one.name}+{other.name}"
         for one, other in combinations(FaultKind, 2)
-        if frozenset({one, other}) not in met
+        if frozenset({one, other}) not in overlapping
     ]
 
 
 def run_seeds(
     seeds: Iterable[int], seconds: float, fronts: int, report: Path, shrinks: bool, print_line: PrintLine
 ) -> int:
-    """Play all seeds; the number of those with a breach."""
+    """Run a plan from each seed and return the number of those with a breach.
+
+    fronts: front nodes of each run. report: the folder for records and logs. shrinks: whether to look for
+    smaller plans that break the same rule.
+    """
     plans, failed = [], 0
     for seed in seeds:
         plan = draw_plan(seed, seconds)
@@ -110,10 +120,11 @@
         failed += bool(outcome.breaches)
         if outcome.breaches and shrinks:
             print_shrunk(plan, outcome, fronts, report / f"shrunk-{seed}", print_line)
-    missing = find_unmet_pairs(plans)
+    missing = find_missing_pairs(plans)
     pairs = len(list(combinations(FaultKind, 2)))
     print_line(
-        f"{len(plans)} seeds, {failed} with a breach; {pairs - len(missing)} of {pairs} pairs of troubles met"
+        f"{len(plans)} seeds, {failed} with a breach; "
+        f"{pairs - len(missing)} of {pairs} pairs of faults overlapped"
     )
     (report / "never-met.txt").write_text("\n".join(missing) + "\n")
     return failed
@@ -125,5 +136,5 @@
     def fails(fewer: Plan) -> bool:
         return bool(rules & {breach.rule for breach in run_plan(fewer, fronts, folder).breaches})
 
-    small = shrink(plan, fails, SHRINK_TRIES)
-    print_line(f"  still fails with {len(small.faults)} of {len(plan.faults)} troubles:\n{small.to_json()}")
+    smaller = shrink(plan, fails, SHRINK_MAX_RUNS)
+    print_line(f"  still fails with {len(smaller.faults)} of {len(plan.faults)} faults:\n{smaller.to_json()}")
--- a/heathford/soak/run.py
+++ b/heathford/soak/run.py
@@ -1,4 +1,4 @@
-"""One run of a plan: engines, relays, discovery and clients here, front nodes as processes beside."""
+"""One run of a plan: front nodes as processes; engines, relays, discovery and clients in this process."""
 
 import asyncio
 import time
@@ -20,10 +20,10 @@
 from heathford.standin.platform import SECOND, Agent, settings
 
 ENGINE_COUNT = 10  # half of them prefill, in two zones
-CLIENTS_PER_FRONT = 4  # for each front node
-DRAIN_GRACE = 0.5  # s after which nothing new may go to an engine that drains
-DRAIN_PERIOD = 1.5  # s from a drain to the engine's end and the next one's start
-ENGINE_CAPACITY = 8.0  # requests a second of a warm engine
+CLIENTS_PER_FRONT = 4
+DRAIN_GRACE = 0.5  # s after which a draining engine may get no new attempts
+DRAIN_PERIOD = 1.5  # s from the announced drain to the start of the replacement, and from there to the stop
+ENGINE_CAPACITY = 8.0  # requests per second of a warm engine
 MEASURE_INTERVAL = 2.0  # s
 LAG_CHECK_INTERVAL = 0.05  # s
 LAG_THRESHOLD = 0.02  # s
@@ -42,41 +42,44 @@
 )
 DISCOVERY_FAULTS = (FaultKind.DISCOVERY_SILENT, FaultKind.DISCOVERY_SLOW, FaultKind.DISCOVERY_RESET)
 CLIENT_FAULTS = (FaultKind.CLIENTS_LEAVE, FaultKind.CLIENTS_BAD)
-ROLL_INTERVAL = 0.3  # s between two front nodes that are told to end
-CROWD_SIZE = 300  # connections: more than a front node has descriptors for clients
-SETTLE_TIME = 1.0  # s after the last trouble until the run is over
-EFFECTS = {"chat": "free", "booking": "single_shot", "order": "guarded"}
+ROLL_INTERVAL = 0.3  # s between the SIGTERMs of two front nodes
+CROWD_SIZE = 300  # connections; more than a front node has descriptors for clients
+SETTLE_TIME = 1.0  # s that a run goes on after the planned time
+EFFECTS = {"chat": "free", "booking": "single_shot", "order": "guarded"}  # idempotency by request class
 
 
-def soak_settings(fronts: int, longest_deadline: float, window: float) -> dict[str, Any]:
-    """What front nodes are told. longest_deadline, window: s."""
-    told = settings()
-    told["nInstances"] = fronts
-    for category in told["categories"]:
+def soak_settings(fronts: int, longest_deadline: float, key_ttl: float) -> dict[str, Any]:
+    """Return the settings of the front nodes; longest_deadline, key_ttl: s."""
+    front_settings = settings()
+    front_settings["nInstances"] = fronts
+    for category in front_settings["categories"]:
         category["deadlineNs"] = int(longest_deadline * SECOND)
         category["objectiveNs"] = int(min(1.0, longest_deadline / 2) * SECOND)
     order = {
-        **told["categories"][0],
+        **front_settings["categories"][0],
         "name": "order",
         "idempotency": "guarded",
         "group": "zone",
-        "keyTtlNs": int(window * SECOND),
+        "keyTtlNs": int(key_ttl * SECOND),
     }
-    told["categories"].append(order)
-    told["familyInfo"]["tokenAimNs"] = 3 * [told["familyInfo"]["tokenAimNs"][0]]
-    return told
+    front_settings["categories"].append(order)
+    front_settings["familyInfo"]["tokenAimNs"] = 3 * [front_settings["familyInfo"]["tokenAimNs"][0]]
+    return front_settings
 
 
 @dataclass
 class RelayedEngine:
-    """A stand-in engine behind its relay; another takes its place when it has drained."""
+    """A stand-in engine behind its relay; replaced by another one when it has drained."""
 
     server: SoakEngine
     relay: Relay
 
 
 class SoakRun:
-    """All that one run needs. records: what was seen."""
+    """All parts of one run; `records` holds what was observed.
+
+    run_ended: whether the run is over; nothing more is recorded then.
+    """
 
     def __init__(self, plan: Plan, fronts: int, folder: Path) -> None:
         self.plan, self.folder = plan, folder
@@ -101,11 +104,11 @@
 
     @property
     def limits(self) -> Limits:
-        told = soak_settings(self.front_count, self.plan.longest_deadline, self.plan.key_ttl)
-        safety = told["safety"]
+        front_settings = soak_settings(self.front_count, self.plan.longest_deadline, self.plan.key_ttl)
+        safety = front_settings["safety"]
         window = safety["fallNs"] / SECOND
         return Limits(
-            held_limit=told["familyInfo"]["pinLimitNs"] / SECOND,
+            held_limit=front_settings["familyInfo"]["pinLimitNs"] / SECOND,
             drain_grace=DRAIN_GRACE,
             key_ttl=self.plan.key_ttl,
             effects=EFFECTS,
@@ -115,15 +118,15 @@
             zones=self.zones,
         )
 
-    # Setting up.
+    # Setup.
 
-    async def new_engine(self, place: int, boot_ms: int) -> RelayedEngine:
+    async def new_engine(self, slot: int, boot_ms: int) -> RelayedEngine:
         self.engines_created += 1
-        uid, zone = f"e{place}-{self.engines_created}", "ab"[place % 2]
+        uid, zone = f"e{slot}-{self.engines_created}", "ab"[slot % 2]
         self.zones[uid] = zone
         server = SoakEngine(
             uid,
-            place < ENGINE_COUNT // 2,
+            slot < ENGINE_COUNT // 2,
             zone,
             self.held_states,
             self.waiting_decodes,
@@ -164,7 +167,10 @@
         )
 
     def shims(self, number: int) -> list[tuple[str, float, float, float]]:
-        """Known before the run begins: its clock starts once all front nodes are ready."""
+        """Return the shims of a front node as FrontProcess takes them; times in s from the start of the run.
+
+        They are fixed before the run starts, as the front nodes read them at their start.
+        """
         return [
             (t.kind.name, t.at, t.at + t.seconds, CLOCK_STEPS[t.target % len(CLOCK_STEPS)])
             for t in self.plan.faults
@@ -175,19 +181,20 @@
 
     async def run(self) -> list[Record]:
         self.folder.mkdir(parents=True, exist_ok=True)
-        for place in range(ENGINE_COUNT):
-            self.engines.append(await self.new_engine(place, 0))
+        for slot in range(ENGINE_COUNT):
+            self.engines.append(await self.new_engine(slot, 0))
         for number in range(self.front_count):
             await self.new_front(number)
-        begin = monotonic() + 2.0 + 0.4 * self.front_count
+        started_at = monotonic() + 2.0 + 0.4 * self.front_count
         try:
             for front in self.fronts:
                 front.shims = [
-                    (what, begin + since, begin + until, figure) for what, since, until, figure in front.shims
+                    (kind, started_at + since, started_at + until, clock_step)
+                    for kind, since, until, clock_step in front.shims
                 ]
             await asyncio.gather(*(front.start() for front in self.fronts))
             if await self.all_ready():
-                await self.inject_faults(max(begin, monotonic()))
+                await self.inject_faults(max(started_at, monotonic()))
         finally:
             await self.close()
         return self.records
@@ -198,14 +205,15 @@
                 while not all(front.address.ready for front in self.fronts):
                     await asyncio.sleep(0.05)
         except TimeoutError:
-            late = [front.name for front in self.fronts if not front.address.ready]
+            not_ready = [front.name for front in self.fronts if not front.address.ready]
             self.add_record(
-                Record(monotonic(), RecordKind.LOG, late[0], text=f"not ready: {', '.join(late)}")
+                Record(monotonic(), RecordKind.LOG, not_ready[0], text=f"not ready: {', '.join(not_ready)}")
             )
             return False
         return True
 
-    async def inject_faults(self, begin: float) -> None:
+    async def inject_faults(self, started_at: float) -> None:
+        """Run the clients and inject the plan's faults; return when the run is over."""
         self.spawn(self.watch_lag())
         self.spawn(self.measure())
         addresses = [front.address for front in self.fronts]
@@ -220,40 +228,40 @@
             )
             self.spawn(client.run())
         for fault in self.plan.faults:
-            self.spawn(self.inject_fault(fault, begin + fault.at))
-        await asyncio.sleep(max(0.0, begin + self.plan.seconds + SETTLE_TIME - monotonic()))
+            self.spawn(self.inject_fault(fault, started_at + fault.at))
+        await asyncio.sleep(max(0.0, started_at + self.plan.seconds + SETTLE_TIME - monotonic()))
 
-    def spawn(self, work: Any) -> None:
-        self.tasks.append(asyncio.create_task(work))
+    def spawn(self, coroutine: Any) -> None:
+        self.tasks.append(asyncio.create_task(coroutine))
 
     async def inject_fault(self, fault: Fault, at: float) -> None:
         await asyncio.sleep(max(0.0, at - monotonic()))
         kind, seconds = fault.kind, fault.seconds
         front = self.fronts[fault.target % self.front_count]
-        place = fault.target % ENGINE_COUNT
-        engine = self.engines[place]
+        slot = fault.target % ENGINE_COUNT
+        engine = self.engines[slot]
         if kind is FaultKind.ROLE_SILENT:
             await self.silence_role(fault)
             return
         if kind is FaultKind.ROLL:
             await self.roll()
             return
-        about_engine = kind.name.startswith(("ENGINE", "LINK")) and kind is not FaultKind.LINK_BREAKS
-        names = {"engine": engine.server.uid} if about_engine else {"front": front.name}
+        affects_engine = kind.name.startswith(("ENGINE", "LINK")) and kind is not FaultKind.LINK_BREAKS
+        targets = {"engine": engine.server.uid} if affects_engine else {"front": front.name}
         if kind in CLIENT_FAULTS:
-            names = {}
-        self.add_record(Record(monotonic(), RecordKind.TROUBLE, value=seconds, text=kind.name, **names))
+            targets = {}
+        self.add_record(Record(monotonic(), RecordKind.TROUBLE, value=seconds, text=kind.name, **targets))
         if kind is FaultKind.CROWD:
             await open_idle_connections(front.address.port, seconds)
         elif kind in FRONT_FAULTS:
             await front.inject(kind, seconds)
         elif kind is FaultKind.ENGINE_DRAINS:
-            await self.replace_engine(place)
+            await self.replace_engine(slot)
         elif kind in ENGINE_FAULTS:
             await self.apply_for(
                 engine.server.active_faults.append, engine.server.active_faults.remove, kind, seconds
             )
-        elif about_engine:
+        elif affects_engine:
             await engine.relay.start_fault(kind)
             await asyncio.sleep(seconds)
             await engine.relay.end_fault(kind)
@@ -270,11 +278,11 @@
             )
 
     async def silence_role(self, fault: Fault) -> None:
-        """All but one of the engines of a role, at the same moment."""
+        """Silence the links of all but one of the engines of a role at the same time."""
         half = ENGINE_COUNT // 2
         first = half * (fault.target % 2)
         spared = first + fault.target // 2 % half
-        engines = [self.engines[place] for place in range(first, first + half) if place != spared]
+        engines = [self.engines[slot] for slot in range(first, first + half) if slot != spared]
         for engine in engines:
             self.add_record(
                 Record(
@@ -291,7 +299,7 @@
             await engine.relay.end_fault(FaultKind.LINK_SILENT)
 
     async def roll(self) -> None:
-        """Each front node is told to end, one after another."""
+        """Restart all front nodes with SIGTERM, one after another."""
         for front in self.fronts:
             self.add_record(
                 Record(
@@ -307,49 +315,49 @@
 
     async def apply_for(
         self,
-        begin: Callable[[FaultKind], None],
-        end: Callable[[FaultKind], None],
+        start_fault: Callable[[FaultKind], None],
+        end_fault: Callable[[FaultKind], None],
         kind: FaultKind,
         seconds: float,
     ) -> None:
-        begin(kind)
+        start_fault(kind)
         await asyncio.sleep(seconds)
-        end(kind)
+        end_fault(kind)
 
-    async def replace_engine(self, place: int) -> None:
-        """The engine drains, ends, and a cold one is listed in its place."""
-        if place in self.draining:
+    async def replace_engine(self, slot: int) -> None:
+        """Drain an engine, list a cold one instead and stop the drained one."""
+        if slot in self.draining:
             return
-        self.draining.add(place)
-        old = self.engines[place]
+        self.draining.add(slot)
+        old = self.engines[slot]
         old.server.state = "DRAINING"
         self.announce(old)
         for front in self.fronts:
             self.add_record(Record(monotonic(), RecordKind.DRAINED, front.name, "", old.server.uid))
         await asyncio.sleep(DRAIN_PERIOD)
-        new = await self.new_engine(place, int(1000 * time.time()))
+        new = await self.new_engine(slot, int(1000 * time.time()))
         self.add_record(Record(monotonic(), RecordKind.COLD, engine=new.server.uid))
         old.server.state = "DELETED"
-        self.engines[place] = new
+        self.engines[slot] = new
         self.announce(old, new)
         await asyncio.sleep(DRAIN_PERIOD)
         old.relay.close()
         old.server.close()
-        self.draining.discard(place)
+        self.draining.discard(slot)
 
     def announce(self, *engines: RelayedEngine) -> None:
-        rows = [engine.server.endpoint_entry(engine.relay.port) for engine in engines]
+        entries = [engine.server.endpoint_entry(engine.relay.port) for engine in engines]
         for agents in self.agents:
             for agent in agents:
-                agent.say(*rows)
+                agent.say(*entries)
 
     async def watch_lag(self) -> None:
         while True:
-            due = monotonic() + LAG_CHECK_INTERVAL
+            expected_at = monotonic() + LAG_CHECK_INTERVAL
             await asyncio.sleep(LAG_CHECK_INTERVAL)
-            late = monotonic() - due
-            if late > LAG_THRESHOLD:
-                self.add_record(Record(monotonic(), RecordKind.LAG, value=late))
+            lag = monotonic() - expected_at
+            if lag > LAG_THRESHOLD:
+                self.add_record(Record(monotonic(), RecordKind.LAG, value=lag))
 
     async def measure(self) -> None:
         while True:
@@ -358,7 +366,7 @@
                 front.measure()
 
     async def close(self) -> None:
-        """End all. What is seen from now on is the end's doing, and not noted."""
+        """Stop all parts of the run. What this causes is not recorded."""
         self.run_ended = True
         for task in self.tasks:
             task.cancel()
@@ -375,34 +383,39 @@
 
 
 async def open_idle_connections(port: int, seconds: float) -> None:
-    """Connections that say nothing, more than a front node keeps; gone after so many s, all opened or not."""
-    ends = monotonic() + seconds
+    """Open idle connections, more than a front node can keep, and abort them after `seconds`.
+
+    They are aborted then even if fewer than CROWD_SIZE could be opened.
+    """
+    end_at = monotonic() + seconds
     writers: list[asyncio.StreamWriter] = []
-    while len(writers) < CROWD_SIZE and monotonic() < ends:
+    while len(writers) < CROWD_SIZE and monotonic() < end_at:
         with suppress(OSError):
             writers.append((await asyncio.open_connection("127.0.0.1", port))[1])
         await asyncio.sleep(0)
-    await asyncio.sleep(max(0.0, ends - monotonic()))
+    await asyncio.sleep(max(0.0, end_at - monotonic()))
     for writer in writers:
         writer.transport.abort()
 
 
 class SoakAgent(Agent):
-    """Discovery whose whole list is what there is now."""
+    """A discovery agent whose complete list is computed for each request."""
 
-    def __init__(self, rows: Callable[[], list[dict[str, Any]]]) -> None:
+    def __init__(self, get_entries: Callable[[], list[dict[str, Any]]]) -> None:
         super().__init__()
-        self.list_entries = rows
+        self.list_entries = get_entries
 
     @property
     def engines(self) -> list[Any]:
-        return [ListedEngine(row) for row in self.list_entries()]
+        return [ListedEngine(entry) for entry in self.list_entries()]
 
     @engines.setter
     def engines(self, engines: list[Any]) -> None:
-        """The base class sets an empty list."""
+        """Ignore the list that the base class sets at its start."""
 
 
 @dataclass
 class ListedEngine:
+    """An engine as `Agent` reads it: only the attribute `row`, its entry of the endpoint list."""
+
     row: dict[str, Any]
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -330,7 +330,7 @@
     """Real processes. Which seed: one whose troubles are of this machine's own and of the links."""
     plan = replace(draw_plan(5, 6.0), seconds=6.0)
     outcome = run_plan(plan, 3, tmp_path)
-    assert outcome.asked > 50 and outcome.answers[200] > 25
+    assert outcome.request_count > 50 and outcome.answers[200] > 25
     assert outcome.breaches == []
 
 
