--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plans, its oracle against one seeded breach of each rule, and a few seconds of one seed."""
+"""Tests of the soak: plans, the oracle against one constructed breach of each rule, and a short real run."""
 
 import asyncio
 import signal
@@ -34,14 +34,16 @@
 )
 
 
-def attempt(at: float, engine: str, said: str, told: float = 2_000.0, name: str = "c") -> list[Record]:
-    """An attempt that is answered 0.05 s later."""
+def attempt(
+    at: float, engine: str, outcome: str, sent_budget: float = 2_000.0, name: str = "c"
+) -> list[Record]:
+    """Return the records of an attempt that is answered 0.05 s later; sent_budget: ms."""
     role = "prefill" if engine == "r" else "decode"
     return [
         Record(at, RecordKind.FIRST_BYTE, "", name, engine),
-        Record(at, RecordKind.LAST_BYTE, "", name, engine, told),
+        Record(at, RecordKind.LAST_BYTE, "", name, engine, sent_budget),
         Record(at, RecordKind.DELIVERED, "", name, engine, 0.0, role),
-        Record(at + 0.05, RecordKind.ENGINE_SAID, "", name, engine, 0.0, said),
+        Record(at + 0.05, RecordKind.ENGINE_SAID, "", name, engine, 0.0, outcome),
         Record(at + 0.05, RecordKind.PASSED_ON, "", name, engine),
     ]
 
@@ -64,9 +66,9 @@
     Record(20.0, RecordKind.MEASURE, "n", value=40, text="30000"),
 ]
 RELEASED = Record(10.2, RecordKind.RELEASED, "", "c", "r")
-WELL_READ = [asked(), *attempt(10.0, "r", "read")]
+PREFILLED = [asked(), *attempt(10.0, "r", "read")]
 
-LATE_READ = [
+LATE_PREFILL = [
     asked(),
     *attempt(10.0, "r", "")[:3],
     Record(10.1, RecordKind.GIVEN_UP, "", "c", "r"),
@@ -83,7 +85,7 @@
         Record(11.0, RecordKind.LOST, "n", "c", "", 0.0, "new"),
         *CLEAN[-1:],
     ],
-    "1 one answer, lost by the process that took the place of one told to end": [
+    "1 one answer, lost by the process started after one was terminated": [
         Record(8.0, RecordKind.ENDING, "n"),
         Record(9.0, RecordKind.EXIT, "n", value=0),
         asked(),
@@ -91,14 +93,14 @@
         *CLEAN[-1:],
     ],
     "1 one answer, cut": [*CLEAN[:-2], Record(10.3, RecordKind.CUT, "n", "c"), *CLEAN[-1:]],
-    "1 one answer, cut by the kill, come late": [
+    "1 one answer, cut by SIGKILL, sent too late after SIGTERM": [
         Record(9.2, RecordKind.ENDING, "n"),
         *CLEAN[:-2],
         Record(10.3, RecordKind.CUT, "n", "c"),
         Record(10.31, RecordKind.EXIT, "n", value=-9),
         *CLEAN[-1:],
     ],
-    "1 one answer, cut before the kill": [
+    "1 one answer, cut before SIGKILL": [
         Record(9.5, RecordKind.ENDING, "n"),
         *CLEAN[:-2],
         Record(10.3, RecordKind.CUT, "n", "c"),
@@ -112,14 +114,14 @@
         *attempt(10.1, "w", "stream"),
         answered(10.4, 200),
     ],
-    "2 no effect twice": [*WELL_READ, *attempt(10.1, "w", "error"), *attempt(10.2, "w2", "stream")],
-    "2 harmless refusals": [*WELL_READ, *attempt(10.1, "w", "error"), answered(10.3, 503)],
+    "2 no effect twice": [*PREFILLED, *attempt(10.1, "w", "error"), *attempt(10.2, "w2", "stream")],
+    "2 harmless refusals": [*PREFILLED, *attempt(10.1, "w", "error"), answered(10.3, 503)],
     "2 repeats in window": [
         asked(request_class="order"),
         *attempt(10.0, "r", "read"),
         *attempt(10.1, "w", "error"),
         RELEASED,
-        *attempt(11.7, "w", "stream", told=900.0),
+        *attempt(11.7, "w", "stream", sent_budget=900.0),
     ],
     "2 repeats in group": [
         asked(request_class="order"),
@@ -139,29 +141,29 @@
             ]
         ),
     ],
-    "5 held": [*WELL_READ, Record(20.0, RecordKind.MEASURE, "n", value=40, text="30000")],
-    "5 held, released late": [*WELL_READ, Record(10.8, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+    "5 held": [*PREFILLED, Record(20.0, RecordKind.MEASURE, "n", value=40, text="30000")],
+    "5 held, released late": [*PREFILLED, Record(10.8, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
     "5 held, behind an attempt that no engine has read": [
-        *WELL_READ,
+        *PREFILLED,
         *attempt(10.1, "w", "")[:2],
         Record(10.2, RecordKind.TROUBLE, "", "", "w", 2.0, "LINK_UNREAD"),
         Record(12.0, RecordKind.RELEASED, "", "c", "w"),
         *CLEAN[-1:],
     ],
-    "5 held, left by a release to an attempt that ended without it": [
-        *WELL_READ,
+    "5 held, not freed by a release during an attempt that ended without it": [
+        *PREFILLED,
         *attempt(10.1, "w", "")[:3],
         Record(10.4, RecordKind.RELEASED, "", "c", "r"),
         Record(10.6, RecordKind.GIVEN_UP, "", "c", "w"),
         *CLEAN[-1:],
     ],
-    "5 held, left by a read that ended well after it was given up": [
-        *LATE_READ,
+    "5 held, left by a prefill attempt that succeeded after it was given up": [
+        *LATE_PREFILL,
         *attempt(10.3, "r2", "full"),
         *CLEAN[-1:],
     ],
-    "5 held, left by such a read while the request goes on": [
-        *LATE_READ,
+    "5 held, left by such a prefill attempt while the request goes on": [
+        *LATE_PREFILL,
         *attempt(10.13, "w", "error"),
         Record(10.15, RecordKind.RELEASED, "", "c", "w"),
         *CLEAN[-1:],
@@ -181,17 +183,17 @@
     ],
     "deadline told": [
         asked(budget=1_000.0),
-        *attempt(10.0, "r", "read", told=1_250.0),
-        *attempt(10.1, "w", "stream", told=800.0),
+        *attempt(10.0, "r", "read", sent_budget=1_250.0),
+        *attempt(10.1, "w", "stream", sent_budget=800.0),
         answered(10.4, 200),
     ],
     "event held back": [*CLEAN, Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.4)],
-    "event held back, beside a link that was late": [
+    "event held back, in addition to a delay of the link": [
         *CLEAN,
         Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
         Record(10.0, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.5, "1.0"),
     ],
-    "event held back, beside another event that its link held back": [
+    "event held back, while the link delayed another event": [
         *CLEAN,
         Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
         Record(10.0, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.9, "2.0"),
@@ -204,7 +206,7 @@
     "bad client": [*CLEAN, Record(14.0, RecordKind.WAITED, "n", value=3.1)],
     "crash": [*CLEAN, Record(12.0, RecordKind.EXIT, "n", value=1, text="unexpected")],
     "log": [*CLEAN, Record(12.0, RecordKind.LOG, "n", text="Traceback")],
-    "log, answered by the last resort": [
+    "log, answered by the last timer": [
         asked(),
         answered(13.2, 502),
         Record(13.1, RecordKind.LOG, "n", text='{"completion": "c", "out": null, "event": "overdue"}'),
@@ -214,30 +216,30 @@
 }
 
 
-def judged(records: Sequence[Record]) -> set[str]:
+def broken_rules(records: Sequence[Record]) -> set[str]:
     return {breach.rule for breach in Oracle(records, LIMITS).judge()}
 
 
-def test_a_clean_run_has_no_breach() -> None:
-    assert judged(CLEAN) == set()
+def test_clean_run_has_no_breach() -> None:
+    assert broken_rules(CLEAN) == set()
 
 
 @pytest.mark.parametrize("name", list(BREACHES))
-def test_each_rule_is_seen_to_break(name: str) -> None:
-    assert judged(BREACHES[name]) == {name.partition(",")[0]}
+def test_breach_of_each_rule_is_reported(name: str) -> None:
+    assert broken_rules(BREACHES[name]) == {name.partition(",")[0]}
 
 
 @pytest.mark.parametrize(
     "records",
     [
-        [*WELL_READ, Record(10.6, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
-        [*WELL_READ, *attempt(10.1, "w", "full"), *attempt(10.2, "w2", "stream"), answered(10.6, 200)],
+        [*PREFILLED, Record(10.6, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [*PREFILLED, *attempt(10.1, "w", "full"), *attempt(10.2, "w2", "stream"), answered(10.6, 200)],
         [
             asked(request_class="order"),
             *attempt(10.0, "r", "read"),
             *attempt(10.1, "w", "error"),
             RELEASED,
-            *attempt(11.4, "w", "stream", told=900.0),
+            *attempt(11.4, "w", "stream", sent_budget=900.0),
         ],
         [Record(10.0, RecordKind.DRAINED, "n", "", "w"), *CLEAN],
         [asked(), Record(10.0, RecordKind.TROUBLE, "n", value=2.0, text="STOP_LONG"), answered(14.0, 502)],
@@ -273,7 +275,7 @@
             Record(10.4, RecordKind.LATE_EVENT, "n", "c", "", 0.9, "1.0"),
             Record(10.3, RecordKind.EVENT_ON_THE_WAY, "", "c", "w", 0.8, "1.0"),
         ],
-        [*LATE_READ, Record(10.7, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
+        [*LATE_PREFILL, Record(10.7, RecordKind.RELEASED, "", "c", "w"), *CLEAN[-1:]],
         [
             asked(),
             *attempt(10.0, "r", "")[:2],
@@ -282,7 +284,7 @@
             Record(12.1, RecordKind.ENGINE_SAID, "", "c", "r", 0.0, "read"),
             *CLEAN[-1:],
         ],
-        [*LATE_READ, *attempt(10.25, "w", "stream"), answered(10.4, 200), *CLEAN[-1:]],
+        [*LATE_PREFILL, *attempt(10.25, "w", "stream"), answered(10.4, 200), *CLEAN[-1:]],
         [
             Record(9.5, RecordKind.ENDING, "n"),
             *CLEAN[:-2],
@@ -292,25 +294,25 @@
         ],
     ],
 )
-def test_what_the_rules_allow_is_no_breach(records: list[Record]) -> None:
-    assert judged(records) == set()
+def test_tolerated_deviations_are_no_breaches(records: list[Record]) -> None:
+    assert broken_rules(records) == set()
 
 
 @pytest.mark.parametrize("seed", range(20))
-def test_a_plan_is_drawn_from_its_seed_alone_and_read_back(seed: int) -> None:
+def test_plan_depends_on_its_seed_alone_and_survives_json(seed: int) -> None:
     plan = draw_plan(seed, 20.0)
     assert plan == draw_plan(seed, 20.0) and parse_plan(plan.to_json()) == plan
     assert plan.overlapping_kinds and all(0.0 < fault.at < 25.0 for fault in plan.faults)
 
 
-def test_a_role_falls_silent_several_times_and_deadlines_are_drawn() -> None:
+def test_role_silence_recurs_and_deadlines_vary() -> None:
     plans = [draw_plan(seed, 20.0) for seed in range(40)]
     assert {plan.longest_deadline for plan in plans} == {0.4, 1.0, 3.0}
     silences = [[t for t in plan.faults if t.kind is FaultKind.ROLE_SILENT] for plan in plans]
-    assert any(len({t.target for t in some}) == 1 and len(some) == 3 for some in silences)
+    assert any(len({t.target for t in group}) == 1 and len(group) == 3 for group in silences)
 
 
-def test_troubles_that_touch_are_pairs() -> None:
+def test_adjacent_faults_count_as_overlapping() -> None:
     faults = (
         Fault(FaultKind.KILL, 0, 1.0, 0.5),
         Fault(FaultKind.RELOAD, 0, 1.5 + ADJACENCY_GAP / 2, 0.1),
@@ -319,28 +321,28 @@
     assert Plan(1, 5.0, faults).overlapping_kinds == {frozenset({FaultKind.KILL, FaultKind.RELOAD})}
 
 
-def test_a_plan_shrinks_to_what_still_fails() -> None:
+def test_plan_shrinks_to_the_faults_that_fail() -> None:
     plan = draw_plan(3, 20.0)
     needed = set(plan.faults[2:4])
-    small = shrink(plan, lambda fewer: needed <= set(fewer.faults), 200)
-    assert set(small.faults) == needed
+    smaller = shrink(plan, lambda fewer: needed <= set(fewer.faults), 200)
+    assert set(smaller.faults) == needed
 
 
-def test_a_few_seconds_of_one_seed(tmp_path: Path) -> None:
-    """Real processes. Which seed: one whose troubles are of this machine's own and of the links."""
+def test_short_run_with_real_front_nodes_has_no_breach(tmp_path: Path) -> None:
+    """Seed 5 has faults of the front nodes' system calls and of the links."""
     plan = replace(draw_plan(5, 6.0), seconds=6.0)
     outcome = run_plan(plan, 3, tmp_path)
     assert outcome.request_count > 50 and outcome.answers[200] > 25
     assert outcome.breaches == []
 
 
-def test_a_stopped_engine_takes_no_connection_and_passes_on_what_came_before() -> None:
-    async def day() -> None:
-        came = asyncio.Event()
+def test_stopped_engine_accepts_no_connection_and_loses_no_data() -> None:
+    async def scenario() -> None:
+        received = asyncio.Event()
 
         async def engine(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             assert await reader.readexactly(2) == b"ab"
-            came.set()
+            received.set()
 
         server = await asyncio.start_server(engine, "127.0.0.1", 0)
         relay = Relay(lambda: server.sockets[0].getsockname()[:2], ConnectionObserver)
@@ -353,23 +355,25 @@
         with pytest.raises(TimeoutError):
             async with asyncio.timeout(0.2):
                 await asyncio.open_connection("127.0.0.1", relay.port)
-        assert not came.is_set()
+        assert not received.is_set()
         await relay.end_fault(FaultKind.ENGINE_STOPPED)
         async with asyncio.timeout(5.0):
-            await came.wait()
+            await received.wait()
             (await asyncio.open_connection("127.0.0.1", relay.port))[1].close()
         writer.close()
         relay.close()
         server.close()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_no_reload_comes_before_the_pages_allow_one(tmp_path: Path) -> None:
-    """The pages: SIGHUP never in a process's first second, nor before it is ready. One that
-    came as Python was still starting ended a front node, on a machine that was slower than usual."""
+def test_no_reload_before_a_front_node_accepts_it(tmp_path: Path) -> None:
+    """Guards against SIGHUP in a process's first second or before it is ready.
 
-    async def day() -> list[Record]:
+    On a slow machine one arrived while Python was still starting and ended the front node.
+    """
+
+    async def scenario() -> list[Record]:
         agent = Agent()
         seen: list[Record] = []
         front = FrontProcess("n0", tmp_path, settings(), 2 * [await agent.open()], [], seen.append)
@@ -379,21 +383,24 @@
             async with asyncio.timeout(10.0):
                 await front.inject(FaultKind.RELOAD, 0.0)
             assert monotonic() >= front.started_at + 1.0 and front.address.ready
-            await front.inject(FaultKind.SIGNAL_SERIES, 0.0)  # ends it, and starts it anew
+            await front.inject(FaultKind.SIGNAL_SERIES, 0.0)  # terminates and restarts it
             front.is_ending = True
-            await front.terminate(FaultKind.SIGNAL_SERIES)  # at once: SIGTERM alone
+            await front.terminate(FaultKind.SIGNAL_SERIES)  # right after the restart: sends SIGTERM alone
             await asyncio.sleep(1.0)
         finally:
             await front.stop()
             agent.close()
         return seen
 
-    assert [record for record in asyncio.run(day()) if record.text] == []
+    assert [record for record in asyncio.run(scenario()) if record.text] == []
+
 
+def test_port_of_a_front_node_stays_reserved(tmp_path: Path) -> None:
+    """Guards against another process taking the port while the front node (re)starts.
 
-def test_the_port_of_a_front_node_is_kept_for_it(tmp_path: Path) -> None:
-    """From its choice to the end of the run, across restarts: one that is let go for the moment until the
-    process listens is another's by then, now and then, and the process ends with status 2."""
+    The port used to be free until the process listened; if it was taken by then, the process ended with
+    status 2.
+    """
     seen: list[Record] = []
     front = FrontProcess("n0", tmp_path, settings(), [""], [], seen.append)
     with socket.socket() as other, pytest.raises(OSError, match="in use"):
@@ -404,8 +411,8 @@
     asyncio.run(front.stop())
 
 
-def test_a_front_node_that_does_not_start_is_told_with_its_last_words(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_failed_start_is_reported_with_the_last_output(tmp_path: Path) -> None:
+    async def scenario() -> None:
         front = FrontProcess("n0", tmp_path, {"categories": [{"deadlineNs": 1}]}, ["h:1"], [], seen.append)
         await front.start()
         assert front.log_task
@@ -413,15 +420,15 @@
         await front.stop()
 
     seen: list[Record] = []
-    asyncio.run(day())
+    asyncio.run(scenario())
     [breach] = Oracle(seen, LIMITS).judge()
     assert (
         breach.rule == "crash" and "status 2" in breach.detail and "settings can't be used" in breach.detail
     )
 
 
-def test_a_soak_that_is_told_to_end_leaves_no_front_node_behind(tmp_path: Path) -> None:
-    async def day() -> None:
+def test_terminated_soak_leaves_no_front_node_behind(tmp_path: Path) -> None:
+    async def scenario() -> None:
         soak = await asyncio.create_subprocess_exec(
             sys.executable,
             "-m",
@@ -447,44 +454,47 @@
             while any(Path(f"/proc/{front}").exists() for front in started):
                 await asyncio.sleep(0.05)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-ENDED_AMID_A_START = """
+TERMINATED_DURING_A_START = """
 import os, signal, subprocess, sys
-start = subprocess.Popen._execute_child
-def told(self, *arguments):
-    start(self, *arguments)
+execute_child = subprocess.Popen._execute_child
+def execute_and_terminate(self, *arguments):
+    execute_child(self, *arguments)
     os.kill(os.getpid(), signal.SIGTERM)
-subprocess.Popen._execute_child = told
+subprocess.Popen._execute_child = execute_and_terminate
 from heathford.cli.main import cli
 cli(["soak", "faults", "--seeds", "1", "--fronts", "2", "--report", sys.argv[1]])
 """
 
 
-def test_a_soak_that_is_told_to_end_amid_a_start_leaves_no_front_node_behind(tmp_path: Path) -> None:
-    """Guards against a front node that nobody knows of: it went on, and kept the soak's output open."""
+def test_soak_terminated_during_a_start_leaves_no_front_node_behind(tmp_path: Path) -> None:
+    """Guards against a front node that the soak does not know of yet.
+
+    It kept running and kept the soak's output open.
+    """
 
-    async def day() -> None:
+    async def scenario() -> None:
         soak = await asyncio.create_subprocess_exec(
             sys.executable,
             "-c",
-            ENDED_AMID_A_START,
+            TERMINATED_DURING_A_START,
             str(tmp_path),
             cwd=Path(__file__).parent.parent,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.PIPE,
         )
         async with asyncio.timeout(20.0):
-            await soak.communicate()  # until nobody has its output open
+            await soak.communicate()  # returns when no process has the soak's output open
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_the_port_of_a_day_s_relay_is_kept_while_nobody_listens(tmp_path: Path) -> None:
-    """Seen in CI: an engine that came back after a restart met "address already in use"."""
+def test_port_of_a_recording_relay_stays_reserved_while_nobody_listens(tmp_path: Path) -> None:
+    """Guards against "address already in use" when an engine listens again after a restart, as seen in CI."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         relay = tap.Relay(Recording(tmp_path / "recording"), "f", "e")
         await relay.listen()
         await relay.set_dead(True)
@@ -493,4 +503,4 @@
         await relay.set_dead(False)
         relay.close()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
