--- a/heathford/interface.py
+++ b/heathford/interface.py
@@ -1,8 +1,9 @@
-"""What passes between the decisions (heathford.policy) and whatever carries them out.
+"""The interface between the routing decisions (heathford.policy) and the code that carries them out.
 
-A carrier, the drill adapter now and a real front later, makes one Router an instance, hands it a clock and
-an InstanceDoor, and calls it; each completion that it takes brings a CompletionDoor of its own and gets a
-handle back. Times are float seconds. Nothing here decides anything.
+The adapter for the simulator (heathford.drill) or a front node's core makes one Router, gives it a clock and
+a RouterActions, and calls it. Each request that it accepts comes with a RequestActions of its own, and its
+later events are calls on the RoutedRequest that is returned. Times are float seconds. Nothing here decides
+anything.
 """
 
 from collections.abc import Mapping
@@ -11,19 +12,24 @@
 from typing import Protocol
 
 
-# Terms that the users state.
-STALL_ALLOWANCE = 0.15  # s that may pass between reading the clock and writing
-HELD_ALLOWANCE = 0.3  # s beyond the pin limit for which a state may be held
+# Limits that the users of the service state.
+STALL_ALLOWANCE = 0.15  # s for which this process may stall between reading the clock and writing
+HELD_ALLOWANCE = 0.3  # s beyond the pin limit for which a prefill state may be held
 
 
 class Role(Enum):
+    """What an engine does: prefill ("read"), decode ("write"), or both, as a combined engine."""
+
     PREFILL = "read"
     DECODE = "write"
     COMBINED = "both"
 
 
 class Effect(Enum):
-    """What running a completion twice does: nothing, nothing inside a group, or harm."""
+    """What it means to run a request twice.
+
+    No harm; no harm within a group of engines that know its idempotency key; or harm.
+    """
 
     IDEMPOTENT = "idempotent"
     IDEMPOTENCY_KEYED = "tokened"
@@ -31,7 +37,7 @@
 
 
 class Group(Enum):
-    """Which engines know a tokened repeat."""
+    """Which engines recognize the repeat of an idempotency-keyed request."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,13 +45,15 @@
 
 
 class Health(Enum):
+    """What the endpoint list says of an engine."""
+
     ON = "on"
     DRAINING = "draining"
     REMOVED = "gone"
 
 
 class Outcome(Enum):
-    """How a dispatch ended."""
+    """How an attempt ended."""
 
     FINISHED = "finished"
     ERROR = "error"
@@ -61,7 +69,7 @@
 
 
 class GiveUpReason(Enum):
-    """Why the Router gives a completion up."""
+    """Why the Router gives a request up."""
 
     DEADLINE_NEAR = "its time is nearly over"
     NO_ENGINE = "no listed engine may take it"
@@ -69,85 +77,110 @@
     TRANSFER_TOO_SLOW = "its prompt can't reach an engine in its time"
 
 
-# Outcomes which prove that the dispatch had no effect.
+# Outcomes which prove that the attempt had no effect.
 NEVER_RAN = frozenset(
     {Outcome.FULL, Outcome.UNREACHABLE, Outcome.UNSENT, Outcome.PREFILLED, Outcome.NO_FREE_CONNECTION}
 )
 
-# The detail of an outcome among these: part of the dispatch had arrived, and the rest did not in its time.
+# The detail of an outcome among these: part of the attempt's bytes arrived, the rest did not in time.
 PART_ARRIVED = 1
 
-# Outcomes that an engine has told itself: the dispatch has reached it. After any other nothing is known: what
-# the far machine's kernel has confirmed may never come to the engine, and a connection that breaks or falls
-# silent tells neither that it came nor that it did not.
+# Outcomes reported by the engine itself, which the attempt has therefore reached. After any other nothing is
+# known: bytes that the remote kernel has confirmed may never come to the engine, and a connection that breaks
+# or falls silent shows neither that they came nor that they did not.
 ANSWERED_BY_ENGINE = frozenset({Outcome.FULL, Outcome.PREFILLED, Outcome.ERROR, Outcome.FINISHED})
 
 
 @dataclass(frozen=True)
 class Workload:
+    """The limits of one class of requests."""
+
     latency_target: float  # s
     target_per_1000: float  # s more for each 1,000 prompt tokens
     token_target: float  # s from one token to the next
     effect: Effect
     group: Group
-    key_ttl: float  # s for which a tokened repeat is known, from the send
+    key_ttl: float  # s from the first attempt for which engines recognize a repeat by its idempotency key
     value: float
 
 
 @dataclass(frozen=True)
 class EngineKind:
+    """A kind of engine; memory: for the contexts of its streams, 0 where none is declared."""
+
     role: Role
     memory: int  # tokens
 
 
 class Clock(Protocol):
+    """The time of the events that are being decided."""
+
     @property
     def now(self) -> float: ...
 
 
 class RequestActions(Protocol):
-    """What can be done for one completion."""
+    """What the Router can do for one request."""
 
-    def send(self, engine: int, timeout: float) -> None: ...
+    def send(self, engine: int, timeout: float) -> None:
+        """Send an attempt, whose number counts up from 0, with its time-out in s."""
+        ...
 
     def cancel(self, seq: int) -> None: ...
 
-    def rate_limit(self, retry_after: float) -> None: ...
+    def rate_limit(self, retry_after: float) -> None:
+        """Give the final answer that the client may repeat the request, after `retry_after` s if not 0."""
+        ...
 
-    def abort(self) -> None: ...
+    def abort(self) -> None:
+        """Give the final answer that the request failed and may have run."""
+        ...
 
-    def release(self) -> None: ...
+    def release(self) -> None:
+        """Release the prefill state that is held for the request."""
+        ...
 
 
 class RouterActions(Protocol):
-    """What can be done by the instance itself."""
+    """What the Router can do for itself."""
 
-    def wake(self, after: float) -> None: ...
+    def wake(self, after: float) -> None:
+        """Call Router.decide after so many s."""
+        ...
 
-    def subscribe(self) -> None: ...
+    def subscribe(self) -> None:
+        """Request the endpoint list and its changes."""
+        ...
 
     def trace(self, text: str) -> None: ...
 
 
 class RoutedRequest(Protocol):
-    """A completion that was taken; all that happens to it is a call on this."""
+    """An accepted request; each event that concerns it is a call on this object."""
 
     @property
     def is_done(self) -> bool:
-        """Nothing more can happen to it."""
+        """Whether nothing more can happen to it."""
 
     @property
     def give_up_reason(self) -> GiveUpReason | None:
         """Why the Router has given it up, if it has."""
 
-    def first_token(self, seq: int, latency: float) -> None: ...
+    def first_token(self, seq: int, latency: float) -> None:
+        """Report that the stream of an attempt begins, `latency` s after the attempt was sent."""
+        ...
 
     def ended(
-        self, seq: int, verdict: Outcome, latency: float, closed: bool, detail: int, load: Mapping[str, float]
+        self, seq: int, outcome: Outcome, latency: float, closed: bool, detail: int, load: Mapping[str, float]
     ) -> None:
-        """A dispatch ended. Load: slots, queue, held, memory, as far as the engine reports them."""
+        """Report that an attempt ended.
+
+        closed: the request has its final answer. detail: cached prompt tokens after a prefill, PART_ARRIVED,
+        or for FULL 1 where the prefill state could not be fetched. load: slots, queue, held, memory, as far
+        as the engine reports them.
+        """
 
     def engine_silent(self, seq: int) -> None:
-        """The engine of a dispatch that is out has said nothing since, nor to a release after that."""
+        """Report that an engine has been silent since its attempt, and to the release after that."""
 
     def client_left(self) -> None: ...
--- a/heathford/policy/__init__.py
+++ b/heathford/policy/__init__.py
@@ -1,17 +1,21 @@
-"""Every decision of heathford: where a completion is read and written, and what is done when that fails.
+"""All routing decisions of heathford: which engines a request is sent to, and what follows a failed attempt.
 
-A carrier makes one Router an instance, tells it the list of engines (list_begins, list_row, list_ends), gives
-it completions (take returns the handle that all later events are calls on) and calls decide after each batch
-of these. The types, and what it calls in turn, stand in heathford/interface.py; reasons in docs/design.md.
+The code that carries the decisions out makes one Router, passes it the endpoint list (begin_list_update,
+update_engine, end_list_update) and the requests (accept returns the object that takes all later events), and
+calls decide after each batch of these. The types, and the actions that the Router calls in turn, are in
+heathford/interface.py; the reasons for the design are in docs/design.md.
 
-The design: two fitted read times and their balanced cut choose a reader or a mixed server; gates; hashed
-readers; near writers chosen after the read. Beside it stand six mechanisms:
-1. trickle: an engine set aside, or just started, gets one dispatch, then twice as many while it goes well
-2. parts: of what leads to a cold engine, all fronts let in the same part, less of hot texts
-3. rests: an engine that is slow, silent or turns work away rests, longer each time in a row
-4. room: reported memory, slots and queue tell who can take one more; the rest waits
-5. further dispatches: what may be sent again, rate-limited or only aborted, and the release of what is held
-6. admission: little more is let in than is answered in time; what can hardly be any more makes way
+The basic design: two fitted prefill times and their balanced split choose a prefill or a combined engine;
+limits on attempts in flight; prefill engines by consistent hashing; decode engines near the prefill engine,
+chosen after the prefill. Six mechanisms complete it:
+1. ramp-up: an engine after a failure or a start gets one attempt, then twice as many while it goes well
+2. slow start: of the requests that lead to a cold engine all front nodes admit the same share, less of
+   popular prompts
+3. cooldowns: an engine that is slow, silent or refuses work gets nothing for a while, longer each time in a
+   row
+4. capacity: reported memory, slots and queue tell which engine can take one more; other requests wait
+5. further attempts: which requests may be retried, rate-limited or only aborted, and the release of states
+6. admission: little more is admitted than is answered in time; requests that are late anyway are shed
 """
 
 from heathford.policy.request_state import RequestState as RequestState
--- a/heathford/policy/request_state.py
+++ b/heathford/policy/request_state.py
@@ -1,4 +1,4 @@
-"""One completion: its dispatches, what may still be done for it, and what it teaches of engines."""
+"""One request: its attempts, what may still be done for it, and what its outcomes say of engines."""
 
 from collections import deque
 from collections.abc import Mapping
@@ -7,36 +7,45 @@
 
 from heathford.interface import (
     ANSWERED_BY_ENGINE,
-    STALL_ALLOWANCE,
     NEVER_RAN,
     PART_ARRIVED,
+    STALL_ALLOWANCE,
     Clock,
-    RequestActions,
     Effect,
     GiveUpReason,
     Group,
-    Role,
     Outcome,
+    RequestActions,
+    Role,
     Workload,
 )
-from heathford.policy.engine_state import FAILURES, LIMITED, PACE_FADE, REST, Attempt, Engine
-from heathford.policy.estimators import Fit, mixed_features, read_features
+from heathford.policy.engine_state import (
+    FAILURE_WEIGHTS,
+    MIN_COOLDOWN,
+    RATE_LIMIT_COOLDOWN,
+    STREAM_DECAY,
+    Attempt,
+    Engine,
+)
+from heathford.policy.estimators import LatencyFit, combined_features, prefill_features
 from heathford.policy.held_state import PendingReleases
 from heathford.policy.transfer import TransferRates
 
-AT_ONCE = 0.05  # share of the latency target in which a full queue says so; a limit on some work takes longer
-READS = 2.0  # times its predicted reading that a completion needs before its target: to read and to write
+IMMEDIATE_SHARE = (
+    0.05  # share of the latency target in which a full engine refuses; a rate limit takes longer
+)
+MIN_PREFILL_TIMES = 2.0  # predicted prefill times that must be left before the target: for prefill and decode
 
 
-class Policy(Protocol):
-    """What a completion needs of the Router that took it."""
+class RouterState(Protocol):
+    """What a request needs of the Router that accepted it."""
 
     clock: Clock
-    prefill_fit: Fit
-    combined_fit: Fit
-    heard: float
-    good: float
-    asked: float
+    prefill_fit: LatencyFit
+    combined_fit: LatencyFit
+    recent_prefill_answers: float
+    recent_in_time: float
+    recent_requests: float
     decode_wait_limit: float
     retry_after: float
     may_cancel: bool
@@ -44,199 +53,257 @@
     transfers: TransferRates
     answers: deque[tuple[float, Engine]]
     waiting: "list[RequestState]"
-    handed_over: PendingReleases
+    pending_releases: PendingReleases
 
     def may_start_over(self, request: "RequestState") -> bool: ...
 
 
 class RequestState:
-    """The handle of one completion: heathford.interface.RoutedRequest."""
+    """The state of one accepted request; implements heathford.interface.RoutedRequest.
+
+    shared_prefix: names the beginning that its prompt shares with others; prompt_tokens, shared_tokens: their
+    lengths; answer_tokens: the expected length of its answer; origin: its workload and tenant; size: bytes
+    that are sent to an engine, 0 where unknown.
+    """
 
     def __init__(
         self,
-        router: Policy,
-        door: RequestActions,
+        router: RouterState,
+        actions: RequestActions,
         workload: Workload,
         session: str,
-        shared: str,
-        prompt: int,
+        shared_prefix: str,
+        prompt_tokens: int,
         shared_tokens: int,
-        answer: float,
+        answer_tokens: float,
         deadline: float,
         origin: object,
         now: float,
         size: int = 0,
     ) -> None:
-        self.router, self.door, self.workload = router, door, workload
-        self.session, self.shared, self.prompt, self.shared_tokens = session, shared, prompt, shared_tokens
-        self.answer, self.deadline, self.key, self.size = answer, deadline, shared or session, size
-        self.target, self.origin = workload.latency_target + workload.target_per_1000 * prompt / 1000, origin
-        self.target_at = now + self.target
-        self.late_at = self.target_at - READS * router.prefill_fit.aged(read_features(prompt), now)
-        self.counts = (
-            deadline >= self.target_at
-        )  # a client with less time than the target says nothing of engines
+        self.router, self.actions, self.workload = router, actions, workload
+        self.session, self.shared_prefix, self.prompt_tokens, self.shared_tokens = (
+            session,
+            shared_prefix,
+            prompt_tokens,
+            shared_tokens,
+        )
+        self.answer_tokens, self.deadline, self.placement_key, self.size = (
+            answer_tokens,
+            deadline,
+            shared_prefix or session,
+            size,
+        )
+        self.first_token_target, self.origin = (
+            workload.latency_target + workload.target_per_1000 * prompt_tokens / 1000,
+            origin,
+        )
+        self.target_at = now + self.first_token_target
+        # When the first attempt has to begin; one that begins later is not expected to meet the target.
+        self.latest_start = self.target_at - MIN_PREFILL_TIMES * router.prefill_fit.predict_aged(
+            prefill_features(prompt_tokens), now
+        )
+        # A client that gives up before the target says nothing of the engines.
+        self.is_representative = deadline >= self.target_at
         self.attempts: list[Attempt] = []
-        self.current_attempt: Attempt | None = None
-        self.state: Engine | None = None  # the reader where its state waits
-        self.held_since, self.over, self.stuck = 0.0, False, False
+        self.current_attempt: Attempt | None = None  # in flight
+        self.state_engine: Engine | None = None  # the prefill engine that holds its state
+        # over: its stream has begun, its final answer is given, or its client has left.
+        # deferred: it could not be placed and is tried again with the next scan.
+        self.held_since, self.over, self.deferred = 0.0, False, False
         self.give_up_reason: GiveUpReason | None = None
-        self.release_at = inf  # when its state is released although an attempt is out
-        self.released = False  # one was: an attempt may have kept it, and leave it held as it ends
+        self.release_at = inf  # when its state is released although an attempt is in flight
+        self.was_released = False  # a state was, which an attempt in flight may have kept and leave held
 
     @property
     def is_done(self) -> bool:
         return self.over and self.current_attempt is None
 
     def first_token(self, seq: int, latency: float) -> None:
-        if seq >= len(self.attempts) or self.attempts[seq].verdict:
+        if seq >= len(self.attempts) or self.attempts[seq].outcome:
             return
         now, attempt = self.router.clock.now, self.attempts[seq]
-        attempt.streaming = now
-        self.router.heard += attempt.local
-        if attempt.local:  # the stream's end would tell the cached tokens, but comes seconds late
-            self.router.combined_fit.add(mixed_features(attempt.new, attempt.contexts), latency, now)
-        self.over, self.state, self.released = True, None, False
-        self.router.handed_over.remove(self)
-        self.router.good += self.counts and now <= self.target_at
-        attempt.engine.went_well(latency, self.target, now, self.router.answers)
+        attempt.streaming_since = now
+        self.router.recent_prefill_answers += attempt.is_combined
+        if attempt.is_combined:  # the end of the stream would give the cached tokens, but comes seconds later
+            self.router.combined_fit.add(
+                combined_features(attempt.uncached_tokens, attempt.context_tokens), latency, now
+            )
+        self.over, self.state_engine, self.was_released = True, None, False
+        self.router.pending_releases.remove(self)
+        self.router.recent_in_time += self.is_representative and now <= self.target_at
+        attempt.engine.record_success(latency, self.first_token_target, now, self.router.answers)
 
     def ended(
-        self, seq: int, verdict: Outcome, latency: float, closed: bool, detail: int, load: Mapping[str, float]
+        self, seq: int, outcome: Outcome, latency: float, closed: bool, detail: int, load: Mapping[str, float]
     ) -> None:
-        if seq >= len(self.attempts) or self.attempts[seq].verdict:
-            return  # never sent, or told before
+        if seq >= len(self.attempts) or self.attempts[seq].outcome:
+            return  # never sent, or reported before
         now, attempt, engine = self.router.clock.now, self.attempts[seq], self.attempts[seq].engine
-        if verdict is Outcome.FINISHED and not attempt.streaming:
-            self.first_token(seq, latency)  # told whole: else it would count as a stream begun at zero
-        attempt.verdict = verdict
-        engine.in_flight = [d for d in engine.in_flight if d is not attempt]
+        if outcome is Outcome.FINISHED and not attempt.streaming_since:
+            self.first_token(seq, latency)  # a whole answer; it would else count as a stream begun at time 0
+        attempt.outcome = outcome
+        engine.in_flight = [other for other in engine.in_flight if other is not attempt]
         if load:
-            engine.load, engine.load_at = load, now
-        attempt.was_slow = detail == PART_ARRIVED and verdict in (Outcome.UNSENT, Outcome.UNREACHABLE)
+            engine.load, engine.load_reported_at = load, now
+        attempt.slow_transfer = detail == PART_ARRIVED and outcome in (Outcome.UNSENT, Outcome.UNREACHABLE)
         self.over = self.over or closed
         if self.current_attempt is attempt:
             self.current_attempt = None
-        self.router.handed_over.remove(self)
-        if self.released and not self.state and not attempt.is_prefill and not attempt.streaming:
-            # Guards against a state that a release left to this attempt, as it waited for it, or was sent to
-            # an engine that found it before the release came: it ended without taking it. Costs a release.
-            self.door.release()
-        self.stuck = False  # looked at at once: a final answer may be due
-        if verdict in ANSWERED_BY_ENGINE or not self.state:
+        self.router.pending_releases.remove(self)
+        if (
+            self.was_released
+            and not self.state_engine
+            and not attempt.is_prefill
+            and not attempt.streaming_since
+        ):
+            # Guards against a state that a release left to this attempt, because it was waiting for it or
+            # found it before the release came, and that it has not fetched. Costs a release.
+            self.actions.release()
+        self.deferred = False  # decided with the next turn: a final answer may be due
+        if outcome in ANSWERED_BY_ENGINE or not self.state_engine:
             self.held_since = now
         elif now - self.held_since >= self.router.decode_wait_limit:
-            # Guards against a state pinned while one writer after the other can't be reached or says nothing:
-            # as far as is known nothing came to an engine since the read. Costs a second read where the next
-            # would have answered.
+            # Guards against a state that stays pinned while one decode engine after another is unreachable or
+            # silent: as far as is known nothing has reached an engine since the prefill. Costs a second
+            # prefill where the next engine would have answered.
             self.release_state()
-        read = verdict is Outcome.PREFILLED or (verdict is Outcome.FINISHED and attempt.local)
-        if read and not detail and attempt.new < self.prompt:
-            engine.cached.clear()  # it lost what it kept, all at once as a rule
-        if verdict is Outcome.PREFILLED:
-            engine.went_well(latency, self.target, now, self.router.answers)
-            self.router.heard += 1
-            self.router.prefill_fit.add(read_features(self.prompt - detail), latency, now)
-            engine.keep(self)
-            self.state = engine
-        elif verdict is Outcome.FINISHED:
-            engine.streamed, engine.streamed_at = engine.streamed * PACE_FADE + now - attempt.streaming, now
-            engine.hinted = engine.hinted * PACE_FADE + self.answer * self.workload.token_target
-        elif verdict is Outcome.FULL and detail:
-            self.release_state()  # gone, or out of the writer's reach and still pinned: read again
-        elif verdict in (Outcome.FULL, Outcome.NO_FREE_CONNECTION):
-            limited = latency > AT_ONCE * self.target  # what is short of room says so at once, and to all
-            engine.rest(self.origin if limited else None, attempt.sent, now, LIMITED if limited else REST)
+        prefill_done = outcome is Outcome.PREFILLED or (outcome is Outcome.FINISHED and attempt.is_combined)
+        if prefill_done and not detail and attempt.uncached_tokens < self.prompt_tokens:
+            engine.cached.clear()  # it found nothing cached: engines usually lose their whole cache at once
+        if outcome is Outcome.PREFILLED:
+            engine.record_success(latency, self.first_token_target, now, self.router.answers)
+            self.router.recent_prefill_answers += 1
+            self.router.prefill_fit.add(prefill_features(self.prompt_tokens - detail), latency, now)
+            engine.record_cached(self)
+            self.state_engine = engine
+        elif outcome is Outcome.FINISHED:
+            engine.stream_time, engine.streams_updated_at = (
+                engine.stream_time * STREAM_DECAY + now - attempt.streaming_since,
+                now,
+            )
+            engine.expected_stream_time = (
+                engine.expected_stream_time * STREAM_DECAY + self.answer_tokens * self.workload.token_target
+            )
+        elif outcome is Outcome.FULL and detail:
+            # The state is gone, or the decode engine can't reach it and it is still pinned: prefill again.
+            self.release_state()
+        elif outcome in (Outcome.FULL, Outcome.NO_FREE_CONNECTION):
+            # An engine without capacity says so at once and to all; a rate limit concerns one origin.
+            rate_limited = latency > IMMEDIATE_SHARE * self.first_token_target
+            engine.cool_down(
+                self.origin if rate_limited else None,
+                attempt.sent_at,
+                now,
+                RATE_LIMIT_COOLDOWN if rate_limited else MIN_COOLDOWN,
+            )
         elif (
-            verdict in FAILURES
-            and not attempt.streaming
-            and (verdict is not Outcome.TIMED_OUT or (self.counts and engine.answered < attempt.sent))
+            outcome in FAILURE_WEIGHTS
+            and not attempt.streaming_since
+            and (
+                outcome is not Outcome.TIMED_OUT
+                or (self.is_representative and engine.last_answer_at < attempt.sent_at)
+            )
         ):
-            # A time-out of one with less time than its target, or where others were answered, is no failure.
-            engine.went_badly(FAILURES[verdict], attempt.sent, now)
-            if verdict is Outcome.TIMED_OUT:  # as slow as that at least: its queue needs as long
-                engine.rest(None, attempt.sent, now, latency)
+            # A time-out is no failure where the request had less time than its target, or where the engine
+            # has answered others since.
+            engine.record_failure(FAILURE_WEIGHTS[outcome], attempt.sent_at, now)
+            if outcome is Outcome.TIMED_OUT:  # its queue needs at least as long to drain
+                engine.cool_down(None, attempt.sent_at, now, latency)
         if self.over:
             self.release_state()
         else:
             self.router.waiting.append(self)
 
     def engine_silent(self, seq: int) -> None:
-        """Guards against waiting for an engine that is stopped or cut off: the state has been released, so an
-        attempt that comes there later finds it gone. Another engine reads anew, where a repeat does no harm.
-        Could harm by a second read where the engine is only slow to answer. A keyed one that is not repeated
-        ends there too where its client may be refused: it comes again sooner."""
+        """Give up an attempt at a silent engine whose state has been released, where that is safe.
+
+        Guards against waiting for an engine that is stopped or cut off: should the attempt arrive later, it
+        finds the state gone. Where a repeat does no harm another engine does the prefill again; costs a
+        second prefill where the engine is only slow to answer. An idempotency-keyed request that is not
+        retried ends as well where its client may be refused, which lets the client repeat it sooner.
+        """
         if seq >= len(self.attempts):
             return
         attempt = self.attempts[seq]
-        if attempt.verdict or attempt.streaming:
+        if attempt.outcome or attempt.streaming_since:
             return
-        attempt.engine.went_badly(FAILURES[Outcome.UNARRIVED], attempt.sent, self.router.clock.now)
+        attempt.engine.record_failure(
+            FAILURE_WEIGHTS[Outcome.UNARRIVED], attempt.sent_at, self.router.clock.now
+        )
         if not self.router.may_cancel or self.over:
             return
         if self.workload.effect is Effect.IDEMPOTENT:
-            given_up = self.router.may_start_over(self)
+            should_cancel = self.router.may_start_over(self)
         else:
-            given_up = self.refusable and not self.repeatable
-        if given_up:
-            self.door.cancel(seq)
+            should_cancel = self.may_be_refused and not self.may_be_retried
+        if should_cancel:
+            self.actions.cancel(seq)
 
     def client_left(self) -> None:
         self.over = True
         if self.current_attempt is None:
             self.release_state()
-        elif self.router.may_cancel and not self.current_attempt.streaming:
-            self.door.cancel(self.current_attempt.seq)
+        elif self.router.may_cancel and not self.current_attempt.streaming_since:
+            self.actions.cancel(self.current_attempt.seq)
 
     def release_state(self) -> None:
-        """Nothing stays held: neither an answer nor a client's leaving frees a state."""
-        if self.state:
-            self.door.release()
-            self.state, self.released = None, True
+        """Release its prefill state, if any is held: no answer and no client's leaving frees it."""
+        if self.state_engine:
+            self.actions.release()
+            self.state_engine, self.was_released = None, True
 
     @property
-    def repeatable(self) -> bool:
-        """Whether it may be sent again after an attempt that may have run. Guards against a keyed repeat that
-        an engine reads when its key is known no more: none is made where an engine may read late. Could harm
-        by a request lost with its engine that a repeat in time would have served."""
+    def may_be_retried(self) -> bool:
+        """Whether a further attempt is allowed after one that may have run.
+
+        Guards against a keyed repeat that an engine reads after it has forgotten the key: there is none where
+        engines may read late. Could harm a request that is lost with its engine and that a repeat in time
+        would have served.
+        """
         effect = self.workload.effect
         return effect is Effect.IDEMPOTENT or (
             effect is Effect.IDEMPOTENCY_KEYED and self.router.keyed_repeats
         )
 
     @property
-    def refusable(self) -> bool:
-        """Whether its client may be told to try again though an attempt may have run."""
+    def may_be_refused(self) -> bool:
+        """Whether its client may be told to repeat it although an attempt may have run."""
         known = self.workload.effect is Effect.IDEMPOTENCY_KEYED and self.workload.group is Group.ALL
         return known or self.workload.effect is Effect.IDEMPOTENT
 
-    def slow_engines(self, role: Role) -> int:
-        """Engines of a role that its bytes did not reach in the time that a send may take."""
-        return len({d.engine.number for d in self.attempts if d.was_slow and d.engine.kind.role is role})
+    def slow_engine_count(self, role: Role) -> int:
+        """Return how many engines of a role its bytes did not reach in the time allowed for a send."""
+        return len({a.engine.number for a in self.attempts if a.slow_transfer and a.engine.kind.role is role})
 
-    def possibly_run_attempts(self) -> list[Attempt]:  # those that may have had an effect
-        return [d for d in self.attempts if not d.is_prefill and d.verdict not in NEVER_RAN]
+    def possibly_run_attempts(self) -> list[Attempt]:
+        """Return the attempts that may have had an effect."""
+        return [a for a in self.attempts if not a.is_prefill and a.outcome not in NEVER_RAN]
 
-    def may_go_to(self, engine: Engine, now: float) -> bool:  # no effect twice
-        risky = self.possibly_run_attempts()
-        if not risky or engine.kind.role is Role.PREFILL or self.workload.effect is Effect.IDEMPOTENT:
+    def may_go_to(self, engine: Engine, now: float) -> bool:
+        """Return whether an attempt at an engine can't have an effect for a second time."""
+        earlier = self.possibly_run_attempts()
+        if not earlier or engine.kind.role is Role.PREFILL or self.workload.effect is Effect.IDEMPOTENT:
             return True
-        if not self.repeatable:
+        if not self.may_be_retried:
             return False
         group = self.workload.group
-        return now + STALL_ALLOWANCE - risky[0].sent < self.workload.key_ttl and all(
+        return now + STALL_ALLOWANCE - earlier[0].sent_at < self.workload.key_ttl and all(
             group is Group.ALL
-            or (d.engine.zone == engine.zone and (group is Group.ZONE or d.engine.cell == engine.cell))
-            for d in risky
+            or (a.engine.zone == engine.zone and (group is Group.ZONE or a.engine.cell == engine.cell))
+            for a in earlier
         )
 
-    def give_up(self, why: GiveUpReason) -> None:
-        if not self.attempts and self.late_at > -inf:  # a guess of ours says nothing of what engines can do
-            self.router.asked = max(0.0, self.router.asked - self.counts)
+    def give_up(self, reason: GiveUpReason) -> None:
+        """Give the final answer without a further attempt: rate-limited if a repeat is safe, else aborted."""
+        # One given up on our prediction alone says nothing of what engines can do, so it no longer counts as
+        # a request; one refused at random (see Router.accept) does.
+        if not self.attempts and self.latest_start > -inf:
+            self.router.recent_requests = max(0.0, self.router.recent_requests - self.is_representative)
         self.release_state()
-        self.over, self.give_up_reason = True, why
-        if self.refusable or not self.possibly_run_attempts():
-            again = why is not GiveUpReason.TRANSFER_TOO_SLOW  # a new try would be as slow
-            self.door.rate_limit(self.router.retry_after if again else 0.0)
+        self.over, self.give_up_reason = True, reason
+        if self.may_be_refused or not self.possibly_run_attempts():
+            soon = reason is not GiveUpReason.TRANSFER_TOO_SLOW  # a repeat would be sent as slowly
+            self.actions.rate_limit(self.router.retry_after if soon else 0.0)
         else:
-            self.door.abort()
+            self.actions.abort()
--- a/heathford/policy/router.py
+++ b/heathford/policy/router.py
@@ -1,4 +1,4 @@
-"""The Router: the list of engines, what waits, and the next step of each completion."""
+"""The Router: the endpoint list, the requests that wait, and the next step of each request."""
 
 import random
 from collections.abc import Sequence
@@ -8,44 +8,54 @@
 
 from heathford.interface import (
     Clock,
-    RequestActions,
+    EngineKind,
     GiveUpReason,
     Health,
-    RouterActions,
-    EngineKind,
+    RequestActions,
     Role,
+    RouterActions,
     Workload,
 )
-from heathford.policy.engine_state import REPORT_LIFE, REST_MOST, Attempt, Engine, remember
-from heathford.policy.estimators import STALE, Fit, reader_is_better
+from heathford.policy.engine_state import MAX_COOLDOWN, REPORT_MAX_AGE, Attempt, Engine, remember
+from heathford.policy.estimators import HALF_LIFE, LatencyFit, prefill_engine_is_better
 from heathford.policy.held_state import PendingReleases, release_time
-from heathford.policy.placement import Ring, Test
+from heathford.policy.placement import EngineFilter, Ring
 from heathford.policy.request_state import RequestState
-from heathford.policy.slow_start import COLD_PART, SlowStart
+from heathford.policy.slow_start import COLD_BUDGET_SHARE, SlowStart
 from heathford.policy.transfer import TransferRates
 
-GATE = 2  # our reads out at one reader
-MEDIANS = 2.0  # times our median tokens that a session's last mixed server may hold
-MEMORY_USED = 0.92  # share of memory up to which a writer has free blocks; the rest is for answers that grow
-SLOTS_USED = 0.97  # reported share of slots in use from which a new answer would queue
-PER_ROOM = 2  # our reads, not yet taken, for each writer with room: one going there, one being read
-GIVE_UP_MARGIN = 0.15  # s before the client timeout at which what waits is given up: a short read's time
-TICK = 0.05  # s between two looks at what waits: small beside any latency target
-HOLD = 0.4  # share of the pin limit for which a state waits for a writer with room
-TRY_SHARE = 0.5  # share of the time left that a dispatch which may be repeated may take: leaves one more
-WAITS = 2.0  # latency targets for which what may be repeated is waited for: a full queue is read in that time
-RETRY_AFTER = 0.5  # s that a rate-limited client, or we after a failed call for the list, should stay away
-ADMIT = 1.5  # times what was answered in time that is let in: a third may miss before any is turned away
-DOUBT = 4.0  # completions that may miss before any is turned away: a few prove nothing
+MAX_PREFILLS_PER_ENGINE = 2  # our prefill attempts in flight at one prefill engine
+MAX_MEDIAN_RATIO = 2.0  # times the median load that a session's last combined engine may have to be kept
+MAX_MEMORY_SHARE = 0.92  # share of an engine's memory that is filled; the rest is for answers that grow
+MAX_SLOT_SHARE = 0.97  # reported share of slots in use from which a new answer would queue
+PREFILLS_PER_DECODE_ENGINE = 2  # our prefills per decode engine with capacity: one going there, one running
+GIVE_UP_MARGIN = 0.15  # s before its deadline at which a waiting request is given up: a short prefill's time
+SCAN_INTERVAL = 0.05  # s between two scans of deferred requests: small beside any latency target
+DECODE_WAIT_SHARE = 0.4  # share of the pin limit for which a state waits for a decode engine with capacity
+ATTEMPT_TIME_SHARE = 0.5  # share of the time left for an attempt that may be repeated: leaves one more
+ATTEMPT_TARGETS = 2.0  # latency targets for such an attempt: a full queue is worked off in that time
+RETRY_AFTER = 0.5  # s until a rate-limited client repeats, or we request the endpoint list again
+ADMISSION_RATIO = 1.5  # requests admitted per one answered in time: up to a third may miss their target
+ADMISSION_ALLOWANCE = 4.0  # requests that may miss their target before any is shed: a few prove nothing
 
 
 class Router:
-    """One instance's policy: heathford.interface says what it is told and what it asks for."""
+    """The policy of one front node.
+
+    heathford.interface defines the events that it is given and the actions that it calls.
+
+    seed: of its random choices; number, fronts: this front node's place among all and their count; pin_limit:
+    s for which a prefill state may be held; may_delay_retries, longest_retry: whether a rate-limited client
+    may be told when to repeat, and s at most; warm_after, cold_from, cold_multiple, cold_window: the rule for
+    cold engines; read_in_place: whether decode engines do their own prefill where no combined engine is
+    listed; subscribe: whether the endpoint list has to be requested; keyed_repeats: whether
+    idempotency-keyed requests may be retried after an attempt that may have run.
+    """
 
     def __init__(
         self,
         clock: Clock,
-        door: RouterActions,
+        actions: RouterActions,
         seed: int,
         kinds: Sequence[EngineKind],
         workloads: Sequence[Workload],
@@ -66,78 +76,83 @@
         keyed_repeats: bool = True,
         transfers: TransferRates | None = None,
     ) -> None:
-        self.clock, self.door, self.random = clock, door, random.Random(seed)
+        self.clock, self.actions, self.random = clock, actions, random.Random(seed)
         self.kinds, self.workloads = kinds, workloads
-        self.tightest = min((w.latency_target for w in workloads), default=inf)
+        self.min_latency_target = min((w.latency_target for w in workloads), default=inf)
         self.number, self.fronts, self.zone = number, max(1, fronts), zone
         self.try_limit, self.pin_limit, self.may_cancel = try_limit, pin_limit, may_cancel
         self.retry_after = min(RETRY_AFTER, longest_retry) if may_delay_retries else 0.0
-        self.decode_wait_limit = min(
-            HOLD * pin_limit, pin_limit - 2 * TICK
-        )  # what waits is looked at once a tick
+        # Deferred requests are tried once a scan, so a short limit leaves two scans of time.
+        self.decode_wait_limit = min(DECODE_WAIT_SHARE * pin_limit, pin_limit - 2 * SCAN_INTERVAL)
         self.read_in_place, self.keyed_repeats = read_in_place, keyed_repeats
         self.transfers = transfers or TransferRates()
-        cold_share = COLD_PART * cold_from * cold_multiple
-        self.slow_start = SlowStart(clock, warm_after, max(cold_window, TICK), cold_share)
+        cold_share = COLD_BUDGET_SHARE * cold_from * cold_multiple
+        self.slow_start = SlowStart(clock, warm_after, max(cold_window, SCAN_INTERVAL), cold_share)
         self.answers = self.slow_start.answers
         self.engines: dict[int, Engine] = {}
         self.listed: dict[int, None] = {}
-        self.told = False  # of any engine, ever
+        self.list_received = False  # with any engine, ever
         self.end_list_update()
-        self.prefill_fit, self.combined_fit = Fit(2), Fit(3)
-        self.last_combined: dict[str, Engine] = {}
-        self.waiting: list[RequestState] = []
-        self.handed_over = PendingReleases(door.wake)
-        self.wake_at, self.looked, self.ask_at = -inf, -inf, clock.now if subscribe else inf
-        self.asked = self.good = self.counted_at = 0.0  # completions lately, and those answered in time
-        self.read = self.heard = 0.0  # reads lately, and those answered
+        self.prefill_fit, self.combined_fit = LatencyFit(2), LatencyFit(3)
+        self.last_combined: dict[str, Engine] = {}  # by session
+        self.waiting: list[RequestState] = []  # requests without an attempt in flight
+        self.pending_releases = PendingReleases(actions.wake)
+        self.wake_at, self.last_scan_at, self.subscribe_at = -inf, -inf, clock.now if subscribe else inf
+        # Recent requests, and those answered in time; as the counts below they lose half each HALF_LIFE.
+        self.recent_requests = self.recent_in_time = self.counters_updated_at = 0.0
+        self.recent_prefills = self.recent_prefill_answers = 0.0  # sent, and answered
 
     def begin_list_update(self, complete: bool) -> None:
+        """Begin an update of the endpoint list: a snapshot if `complete`, else a change."""
         self.listed = {} if complete else dict.fromkeys(self.engines)
 
     def update_engine(
         self, number: int, zone: int, kind: int, cell: int, health: Health, size: float, started: float
     ) -> None:
+        """Apply one entry of the endpoint list.
+
+        Raises IndexError where no kind has that index.
+        """
         self.listed[number] = None
         engine = self.engines.get(number)
         if not engine or (engine.zone, engine.cell, engine.kind) != (zone, cell, self.kinds[kind]):
-            if engine:  # another machine under a known number: what is out at the old one ends there
+            if engine:  # another machine under a known number: attempts in flight at the old one end there
                 engine.health = Health.REMOVED
             engine = self.engines[number] = Engine(number, zone, cell, self.kinds[kind], size, started)
         if engine.started != started:
-            engine.begin(started)
+            engine.reset(started)
         engine.health = health
-        if self.slow_start.is_cold(engine) and not engine.trickle:
-            engine.trickle = 1
+        if self.slow_start.is_cold(engine) and not engine.ramp_limit:
+            engine.ramp_limit = 1
 
     def end_list_update(self) -> None:
+        """End an update of the endpoint list: a snapshot removes all engines that it has not named."""
         for number, engine in list(self.engines.items()):
             if number not in self.listed:
                 engine.health = Health.REMOVED
             if engine.health is Health.REMOVED and not engine.in_flight:
                 del self.engines[number]
-                engine.cached.clear()  # sessions that were there last remember the engine itself for longer
+                engine.cached.clear()  # the object itself lives on in last_combined
         listed = [e for e in self.engines.values() if e.health is Health.ON]
         self.pools = {role: [e for e in listed if e.kind.role is role] for role in Role}
-        self.writers = self.pools[Role.DECODE] + self.pools[Role.COMBINED]
+        self.decode_engines = self.pools[Role.DECODE] + self.pools[Role.COMBINED]
         if self.read_in_place and not self.pools[Role.COMBINED]:
-            self.pools[Role.COMBINED] = self.pools[
-                Role.DECODE
-            ]  # they read as mixed servers do, where none is
-        self.told = self.told or bool(self.engines)
+            self.pools[Role.COMBINED] = self.pools[Role.DECODE]
+        self.list_received = self.list_received or bool(self.engines)
         self.rings = {
             role: (Ring([e for e in pool if e.zone == self.zone]), Ring(pool))
             for role, pool in self.pools.items()
         }
-        self.slow_start.list_changed(self.pools, self.rings)
+        self.slow_start.set_engines(self.pools, self.rings)
 
     def list_request_failed(self) -> None:
-        self.ask_at = self.clock.now + RETRY_AFTER * (1.0 + self.random.random())  # the list held stays valid
-        self.door.wake(self.ask_at - self.clock.now + TICK)
+        """Request the endpoint list again after a while; the present one stays valid."""
+        self.subscribe_at = self.clock.now + RETRY_AFTER * (1.0 + self.random.random())
+        self.actions.wake(self.subscribe_at - self.clock.now + SCAN_INTERVAL)
 
     def accept(
         self,
-        door: RequestActions,
+        actions: RequestActions,
         workload: int,
         tenant: int,
         session: str,
@@ -149,251 +164,357 @@
         deadline: float,
         size: int = 0,
     ) -> RequestState:
-        now, kind = self.clock.now, self.workloads[workload]
-        hinted = answer_hint and kind.token_target
-        answer = min(max_answer_tokens, answer_hint / kind.token_target if hinted else max_answer_tokens / 2)
+        """Accept a request; the next `decide` takes its first step.
+
+        shared, session: placement keys, the beginning that its prompt shares with others and its session;
+        prompt, shared_tokens: lengths in tokens; answer_hint: s that the answer is expected to stream, 0
+        where unknown; size: bytes that are sent to an engine, 0 where unknown.
+        """
+        now, limits = self.clock.now, self.workloads[workload]
+        hinted = answer_hint and limits.token_target
+        answer_tokens = min(
+            max_answer_tokens, answer_hint / limits.token_target if hinted else max_answer_tokens / 2
+        )
         request = RequestState(
             self,
-            door,
-            kind,
+            actions,
+            limits,
             session,
             shared,
             prompt,
             shared_tokens,
-            answer,
+            answer_tokens,
             deadline,
             (workload, tenant),
             now,
             size,
         )
-        kept, self.counted_at = exp2((self.counted_at - now) / STALE), now
-        self.asked, self.good = self.asked * kept + request.counts, self.good * kept
-        self.read, self.heard = self.read * kept, self.heard * kept
-        if self.random.random() * self.asked > ADMIT * self.good + DOUBT:
-            request.late_at = -inf
-        self.slow_start.recent.append(request.key)
+        decay, self.counters_updated_at = exp2((self.counters_updated_at - now) / HALF_LIFE), now
+        self.recent_requests, self.recent_in_time = (
+            self.recent_requests * decay + request.is_representative,
+            self.recent_in_time * decay,
+        )
+        self.recent_prefills, self.recent_prefill_answers = (
+            self.recent_prefills * decay,
+            self.recent_prefill_answers * decay,
+        )
+        if (
+            self.random.random() * self.recent_requests
+            > ADMISSION_RATIO * self.recent_in_time + ADMISSION_ALLOWANCE
+        ):
+            request.latest_start = -inf  # shed at random, in proportion to the overload
+        self.slow_start.recent_keys.append(request.placement_key)
         self.waiting.append(request)
         return request
 
     @property
-    def jammed(self) -> bool:
-        """Guards against queues in which all becomes late, kept up by clients that come again. Could harm
-        where more than a third misses its target through no lack of room."""
-        return self.asked > ADMIT * self.good + DOUBT
+    def is_overloaded(self) -> bool:
+        """Whether many more requests come in than are answered in time.
+
+        Guards against queues in which every answer is late, kept up by clients that repeat their requests.
+        Could harm where more than a third misses its target though there is capacity.
+        """
+        return self.recent_requests > ADMISSION_RATIO * self.recent_in_time + ADMISSION_ALLOWANCE
 
     @property
-    def unheard(self) -> float:
-        return (self.read + 1) / (self.heard + 1)  # reads sent lately for each that was answered
+    def prefills_per_answer(self) -> float:
+        """Recent prefills sent for each one that was answered."""
+        return (self.recent_prefills + 1) / (self.recent_prefill_answers + 1)
 
     def decide(self) -> None:
-        """The next step of all with no dispatch out; what can't be placed waits and is looked at once a tick.
-        While others wait, or in a jam, what can hardly meet its target makes way for what can."""
-        now, jammed = self.clock.now, self.jammed
-        self.handed_over.release_expired(now)
-        if self.ask_at <= now:
-            self.ask_at = inf
-            self.door.subscribe()
-        again = now - self.looked >= TICK
-        crowded = jammed or any(c.stuck for c in self.waiting)
-        here = [c for c in self.waiting if not c.over and (again or not c.stuck)]
-        self.looked = now if again else self.looked
-        self.waiting = [c for c in self.waiting if c.stuck and not again and not c.over]
-        for request in sorted(here, key=lambda c: (c.state is None, c.late_at)):
-            fresh = not request.state and not request.possibly_run_attempts()
+        """Take the next step of all requests that have no attempt in flight.
+
+        Those that can't be placed are deferred and tried again once a SCAN_INTERVAL. While others are
+        deferred, or under overload, requests that can hardly meet their target are shed for the others.
+        """
+        now, overloaded = self.clock.now, self.is_overloaded
+        self.pending_releases.release_expired(now)
+        if self.subscribe_at <= now:
+            self.subscribe_at = inf
+            self.actions.subscribe()
+        scan = now - self.last_scan_at >= SCAN_INTERVAL
+        shedding = overloaded or any(r.deferred for r in self.waiting)
+        to_decide = [r for r in self.waiting if not r.over and (scan or not r.deferred)]
+        self.last_scan_at = now if scan else self.last_scan_at
+        self.waiting = [r for r in self.waiting if r.deferred and not scan and not r.over]
+        for request in sorted(to_decide, key=lambda r: (r.state_engine is None, r.latest_start)):
+            fresh = not request.state_engine and not request.possibly_run_attempts()
             if now >= request.deadline - GIVE_UP_MARGIN:
                 request.give_up(GiveUpReason.DEADLINE_NEAR)
             elif not self.has_eligible_engine(request, now):
-                slow = any(d.was_slow for d in request.attempts)
+                slow = any(a.slow_transfer for a in request.attempts)
                 slow = slow or self.has_eligible_engine(request, now, timely=False)
                 request.give_up(GiveUpReason.TRANSFER_TOO_SLOW if slow else GiveUpReason.NO_ENGINE)
-            elif fresh and crowded and now >= request.late_at:
+            elif fresh and shedding and now >= request.latest_start:
                 request.give_up(GiveUpReason.SHED)
             elif not self.try_place(request):
                 self.waiting.append(request)
-                request.stuck = fresh
+                request.deferred = fresh
         if self.waiting and now >= self.wake_at:
-            self.wake_at = now + TICK / 2
-            self.door.wake(TICK)
+            self.wake_at = now + SCAN_INTERVAL / 2
+            self.actions.wake(SCAN_INTERVAL)
 
     def may_start_over(self, request: RequestState) -> bool:
-        """Whether there is time and somebody for another read and answer."""
+        """Return whether there are time and engines left for another prefill and answer."""
         now = self.clock.now
         return now < request.deadline - GIVE_UP_MARGIN and self.has_eligible_engine(request, now)
 
     def has_eligible_engine(self, request: RequestState, now: float, timely: bool = True) -> bool:
-        """Guards against waits that only the clock ends, as of a tokened one past its time or with its group
-        gone. Could harm where one comes back a moment later; the client is told when to. timely: only engines
-        that its bytes can reach in time."""
-        tries = self.try_limit - len(request.attempts)
-        if not self.told:
-            return tries > 0  # a front that has just started waits for its list
-        if tries <= 0:
+        """Return whether any listed engine may take the request, now or later.
+
+        Guards against waiting in vain until the deadline, as with an idempotency-keyed request whose key has
+        expired or whose group has been removed. Could harm where an engine comes back a moment later; the
+        client is told when to repeat. timely: only engines that the request's bytes can reach in time.
+        """
+        attempts_left = self.try_limit - len(request.attempts)
+        if not self.list_received:
+            return attempts_left > 0  # a front node that has just started waits for its endpoint list
+        if attempts_left <= 0:
             return False
 
-        def takes(engine: Engine, by: float) -> bool:
-            return request.may_go_to(engine, now) and (not timely or self.reachable(request, engine, by))
+        def is_eligible(engine: Engine, by: float) -> bool:
+            return request.may_go_to(engine, now) and (
+                not timely or self.can_reach_in_time(request, engine, by)
+            )
 
-        readers = tries > 1 and any(
-            not timely or self.reachable(request, e, request.deadline) for e in self.pools[Role.PREFILL]
+        prefill_possible = attempts_left > 1 and any(
+            not timely or self.can_reach_in_time(request, e, request.deadline)
+            for e in self.pools[Role.PREFILL]
         )
-        if (request.state or readers) and any(takes(e, self.state_due(request)) for e in self.writers):
+        if (request.state_engine or prefill_possible) and any(
+            is_eligible(e, self.state_release_time(request)) for e in self.decode_engines
+        ):
             return True
-        return any(takes(e, request.deadline) for e in self.pools[Role.COMBINED])
+        return any(is_eligible(e, request.deadline) for e in self.pools[Role.COMBINED])
+
+    def state_release_time(self, request: RequestState) -> float:
+        """Return when the state that a request holds, or of a prefill that ends now, has to be released.
 
-    def state_due(self, request: RequestState) -> float:
-        """When an attempt that takes a state has to be at its writer: a state that waits, or one read now."""
-        return release_time(request.held_since if request.state else self.clock.now, self.pin_limit)
+        A decode attempt that is to fetch the state has to arrive by then.
+        """
+        return release_time(request.held_since if request.state_engine else self.clock.now, self.pin_limit)
 
-    def reachable(self, request: RequestState, engine: Engine, by: float) -> bool:
-        """Whether its bytes can be at an engine by then, as far as is known."""
+    def can_reach_in_time(self, request: RequestState, engine: Engine, by: float) -> bool:
+        """Return whether a request's bytes can reach an engine by then, as far as is known."""
         now, size = self.clock.now, request.size
-        return not self.transfers.matters(size, now) or self.transfers.in_time(
-            engine.number, size, now, by, request.slow_engines(engine.kind.role)
+        return not self.transfers.may_matter(size, now) or self.transfers.can_arrive_by(
+            engine.number, size, now, by, request.slow_engine_count(engine.kind.role)
         )
 
     def try_place(self, request: RequestState) -> bool:
-        now, tries = self.clock.now, self.try_limit - len(request.attempts)
-        if request.state:
-            return self.write(request, request.state, now)
-        mixed = self.pick_combined_engine(request)
-        reader = self.pick_prefill_engine(request) if tries > 1 and self.state_can_be_taken(request) else None
-        local = mixed is not None and self.has_room(mixed, request)
-        if mixed and local and not (reader and self.reader_reads(request, reader, mixed)):
-            self.send(request, mixed, False)
+        """Send the next attempt of a request if some engine can take it now; return whether one was sent."""
+        now, attempts_left = self.clock.now, self.try_limit - len(request.attempts)
+        if request.state_engine:
+            return self.place_decode(request, request.state_engine, now)
+        combined = self.pick_combined_engine(request)
+        prefill = (
+            self.pick_prefill_engine(request)
+            if attempts_left > 1 and self.decode_engine_reachable(request)
+            else None
+        )
+        combined_ready = combined is not None and self.has_capacity(combined, request)
+        if (
+            combined
+            and combined_ready
+            and not (prefill and self.prefers_prefill_engine(request, prefill, combined))
+        ):
+            self.send(request, combined, False)
             return True
-        if reader:
-            self.send(request, reader, True)
-        return bool(reader)
-
-    def state_can_be_taken(self, request: RequestState) -> bool:
-        """Whether some writer can have the prompt before a state that is read now has to be released."""
-        taken_by = self.state_due(request)
-        return any(self.reachable(request, e, taken_by) for e in self.writers)
-
-    def reader_reads(self, request: RequestState, reader: Engine, mixed: Engine) -> bool:
-        at_reader, at_mixed = (request.prompt - e.kept(request) for e in (reader, mixed))
+        if prefill:
+            self.send(request, prefill, True)
+        return bool(prefill)
+
+    def decode_engine_reachable(self, request: RequestState) -> bool:
+        """Return whether some decode engine can have the prompt before a new state must be released."""
+        release_at = self.state_release_time(request)
+        return any(self.can_reach_in_time(request, e, release_at) for e in self.decode_engines)
+
+    def prefers_prefill_engine(self, request: RequestState, prefill: Engine, combined: Engine) -> bool:
+        tokens_at_prefill, tokens_at_combined = (
+            request.prompt_tokens - e.cached_tokens(request) for e in (prefill, combined)
+        )
         now = self.clock.now
-        return reader_is_better(
-            self.prefill_fit, self.combined_fit, at_reader, at_mixed, mixed.contexts(now), now
+        return prefill_engine_is_better(
+            self.prefill_fit,
+            self.combined_fit,
+            tokens_at_prefill,
+            tokens_at_combined,
+            combined.context_tokens(now),
+            now,
         )
 
     def pick_prefill_engine(self, request: RequestState) -> Engine | None:
-        """Guards against states piling up before full writers, the strain of the memory fallback: no read
-        starts while no writer has room for it."""
-        roomy = sum(self.usable(e, request) and self.has_room(e, request) for e in self.writers)
-        if sum(len(e.in_flight) for e in self.pools[Role.PREFILL]) >= PER_ROOM * roomy:
+        """Return the engine for a prefill attempt, if any is free.
+
+        Guards against states that pile up while the decode engines are full, the risk of falling back on
+        prefill engines where memory is short: no prefill starts while no decode engine has capacity for it.
+        """
+        with_capacity = sum(
+            self.usable(e, request) and self.has_capacity(e, request) for e in self.decode_engines
+        )
+        if (
+            sum(len(e.in_flight) for e in self.pools[Role.PREFILL])
+            >= PREFILLS_PER_DECODE_ENGINE * with_capacity
+        ):
             return None
         now = self.clock.now
         return self.pick_by_hash(
             request,
             Role.PREFILL,
-            lambda e: len(e.in_flight) < GATE
-            and not e.closed(request.origin, now, self.tightest)
-            and self.reachable(request, e, request.deadline),
+            lambda e: len(e.in_flight) < MAX_PREFILLS_PER_ENGINE
+            and not e.is_blocked(request.origin, now, self.min_latency_target)
+            and self.can_reach_in_time(request, e, request.deadline),
         )
 
     def pick_combined_engine(self, request: RequestState) -> Engine | None:
+        """Return the session's last combined engine unless that is too busy, else one by hash."""
         now, last = self.clock.now, self.last_combined.get(request.session)
         pool = self.pools[Role.COMBINED]
 
         def is_open(engine: Engine) -> bool:
-            return request.may_go_to(engine, now) and self.reachable(request, engine, request.deadline)
+            return request.may_go_to(engine, now) and self.can_reach_in_time(
+                request, engine, request.deadline
+            )
 
         if (
             last
             and last in pool
             and self.usable(last, request)
             and is_open(last)
-            and (last.tokens <= MEDIANS * median(e.tokens for e in pool))
+            and (last.load_tokens <= MAX_MEDIAN_RATIO * median(e.load_tokens for e in pool))
         ):
             return last
         return self.pick_by_hash(request, Role.COMBINED, is_open)
 
-    def pick_by_hash(self, request: RequestState, role: Role, is_open: Test) -> Engine | None:
-        """Two drawn by hashing the shared beginning, else the session, in the own zone; with both closed, two
-        of all. Drawn from open ones only, a session would move under load and be read anew each time. If
-        neither holds more of our tokens it is the first, at all fronts alike: one engine keeps the text."""
+    def pick_by_hash(self, request: RequestState, role: Role, is_open: EngineFilter) -> Engine | None:
+        """Return the better of two engines that the shared prefix, else the session, hashes to.
+
+        They are of the own zone, or of all zones if both of these are closed. Open engines alone are not what
+        is hashed to, as a session would then move under load and need a new prefill each time. With equal
+        load it is the first one at all front nodes, so that one engine keeps the prompt cached.
+        """
         usable = partial(self.usable, request=request)
         for ring in self.rings[role]:
-            drawn = [ring.draw(f"{seed}:{request.key}", usable) for seed in (1, 2)]
-            able = [e for e in drawn if e and is_open(e)]
-            if len(able) > 1 and not self.slow_start.takes_second_draw(able[1], request.session):
-                return able[0]
-            if able:
-                return min(able, key=lambda e: e.tokens)
+            picked = [ring.pick(f"{seed}:{request.placement_key}", usable) for seed in (1, 2)]
+            available = [e for e in picked if e and is_open(e)]
+            if len(available) > 1 and not self.slow_start.admits_second_choice(available[1], request.session):
+                return available[0]
+            if available:
+                return min(available, key=lambda e: e.load_tokens)
         return None
 
-    def has_room(self, engine: Engine, request: RequestState) -> bool:
-        now, load = self.clock.now, engine.load if self.clock.now - engine.load_at < REPORT_LIFE else {}
+    def has_capacity(self, engine: Engine, request: RequestState) -> bool:
+        """Return whether an engine has free slots and memory for a request's answer, as far as is known.
+
+        What all front nodes have sent since the engine's last load report is taken to be as much as ours.
+        """
+        now, load = (
+            self.clock.now,
+            engine.load if self.clock.now - engine.load_reported_at < REPORT_MAX_AGE else {},
+        )
         if (
-            engine.closed(request.origin, now, self.tightest)
-            or engine.crawls(now)
-            or (load.get("queue", 0.0) >= 1.0 or load.get("slots", 0.0) >= SLOTS_USED)
+            engine.is_blocked(request.origin, now, self.min_latency_target)
+            or engine.streams_too_slowly(now)
+            or (load.get("queue", 0.0) >= 1.0 or load.get("slots", 0.0) >= MAX_SLOT_SHARE)
         ):
             return False
-        since = sum(d.tokens for d in engine.in_flight if d.sent > engine.load_at or "memory" not in load)
+        unreported = sum(
+            a.load_tokens
+            for a in engine.in_flight
+            if a.sent_at > engine.load_reported_at or "memory" not in load
+        )
         return (
             not engine.kind.memory
-            or since * self.fronts + request.prompt + request.answer
-            < (MEMORY_USED - load.get("memory", 0.0)) * engine.kind.memory
-        )  # none told: as much as is wanted
-
-    def write(self, request: RequestState, reader: Engine, now: float) -> bool:  # two near the reader
-        taken_by = self.state_due(request)
-        able = [
+            or unreported * self.fronts + request.prompt_tokens + request.answer_tokens
+            < (MAX_MEMORY_SHARE - load.get("memory", 0.0)) * engine.kind.memory
+        )  # a kind whose memory is not declared has no limit
+
+    def place_decode(self, request: RequestState, state_engine: Engine, now: float) -> bool:
+        """Send a decode attempt, near the engine that holds the state; return whether one was sent."""
+        release_at = self.state_release_time(request)
+        eligible = [
             e
-            for e in self.writers
-            if self.usable(e, request) and request.may_go_to(e, now) and self.reachable(request, e, taken_by)
+            for e in self.decode_engines
+            if self.usable(e, request)
+            and request.may_go_to(e, now)
+            and self.can_reach_in_time(request, e, release_at)
         ]
-        near = [e for e in able if e.zone == reader.zone]
-        # Guards against a cell's full writers, which each of many fronts finds slow only now and then.
-        well = [e for e in near if now >= e.cooldowns.get(None, (-inf, 0.0))[0] + REST_MOST]
-        well_here, here = ([e for e in some if e.cell == reader.cell] for some in (well, near))
-        pools = well_here, well, here, near, able
+        in_zone = [e for e in eligible if e.zone == state_engine.zone]
+        # Guards against full engines in the cell, which each of many front nodes rarely finds slow itself.
+        healthy = [e for e in in_zone if now >= e.cooldowns.get(None, (-inf, 0.0))[0] + MAX_COOLDOWN]
+        healthy_in_cell, in_cell = (
+            [e for e in engines if e.cell == state_engine.cell] for engines in (healthy, in_zone)
+        )
+        pools = healthy_in_cell, healthy, in_cell, in_zone, eligible
         waited = now - request.held_since >= self.decode_wait_limit
-        fit = next(filter(None, ([e for e in pool if self.has_room(e, request)] for pool in pools)), [])
-        if waited and not fit:  # a state may not be held on
-            fit = [e for e in able if not e.closed(request.origin, now, self.tightest)] or able
-        if fit:
-            pair = self.random.sample(fit, 2) if len(fit) > 2 else fit
-            self.send(request, min(pair, key=lambda e: e.tokens / max(e.size, 1e-3)), False)
-        elif waited:  # it is read anew once a writer can be had
+        candidates = next(
+            filter(None, ([e for e in pool if self.has_capacity(e, request)] for pool in pools)), []
+        )
+        if waited and not candidates:  # the state may not be held any longer
+            candidates = [
+                e for e in eligible if not e.is_blocked(request.origin, now, self.min_latency_target)
+            ] or eligible
+        if candidates:
+            pair = self.random.sample(candidates, 2) if len(candidates) > 2 else candidates
+            self.send(request, min(pair, key=lambda e: e.load_tokens / max(e.size, 1e-3)), False)
+        elif waited:  # the prefill is done again once a decode engine is available
             request.release_state()
-        return bool(fit)
+        return bool(candidates)
 
     def usable(self, engine: Engine, request: RequestState) -> bool:
-        slow_start, free = self.slow_start, not engine.trickle or len(engine.unanswered) < engine.trickle
+        """Return whether an engine is in service, and within its ramp-up limit and its cold budget."""
+        slow_start, within_ramp_limit = (
+            self.slow_start,
+            not engine.ramp_limit or len(engine.unanswered) < engine.ramp_limit,
+        )
         return (
-            free
+            within_ramp_limit
             and engine.health is Health.ON
-            and (not slow_start.is_cold(engine) or slow_start.takes(engine, request.session, self.unheard))
+            and (
+                not slow_start.is_cold(engine)
+                or slow_start.admits(engine, request.session, self.prefills_per_answer)
+            )
         )
 
-    def send(self, request: RequestState, engine: Engine, reading: bool) -> None:
+    def send(self, request: RequestState, engine: Engine, is_prefill: bool) -> None:
+        """Send an attempt and choose its time-out."""
         now = self.clock.now
-        new = request.prompt - engine.kept(request)
-        local = not reading and request.state is None
-        attempt = Attempt(engine, len(request.attempts), reading, local, request.prompt, new, now)
-        if attempt.local:
-            engine.keep(request)
+        uncached_tokens = request.prompt_tokens - engine.cached_tokens(request)
+        is_combined = not is_prefill and request.state_engine is None
+        attempt = Attempt(
+            engine,
+            len(request.attempts),
+            is_prefill,
+            is_combined,
+            request.prompt_tokens,
+            uncached_tokens,
+            now,
+        )
+        if attempt.is_combined:
+            engine.record_cached(request)
             remember(self.last_combined, request.session, engine)
-        self.read += reading or attempt.local
+        self.recent_prefills += is_prefill or attempt.is_combined
         request.attempts.append(attempt)
         request.current_attempt = attempt
         engine.in_flight.append(attempt)
         if self.slow_start.is_cold(engine):
-            engine.cold_sends.append(now)
-        if request.state and not reading:
+            engine.cold_attempts.append(now)
+        if request.state_engine and not is_prefill:
             request.release_at = release_time(request.held_since, self.pin_limit)
-            self.handed_over.add(request, now)
-        once = attempt.local or not (reading or request.repeatable or request.refusable)
-        share = 1.0 if once or self.jammed else TRY_SHARE  # in a jam a second try is more work, and later
-        patience = share * (request.deadline - now)
+            self.pending_releases.add(request, now)
+        only_chance = attempt.is_combined or not (
+            is_prefill or request.may_be_retried or request.may_be_refused
+        )
+        # Under overload a second attempt is more work, and its answer later.
+        share = 1.0 if only_chance or self.is_overloaded else ATTEMPT_TIME_SHARE
+        timeout = share * (request.deadline - now)
         if share < 1.0:
-            # Guards against engines and lines that fall silent: what comes after the target is worth little,
-            # and a client timeout is several. Where few reads are answered it is their queues: reads given up
-            # in them leave nothing kept and are read anew elsewhere, so they are waited for as much longer.
-            # Could harm where many engines fall silent at once.
-            sending = self.transfers.expected(engine.number, request.size, now) or 0.0
-            patience = min(patience, sending + WAITS * request.target * self.unheard)
-        request.door.send(engine.number, patience)
+            # Guards against engines and connections that fall silent: an answer past its target is worth
+            # little, and a deadline is several targets away. Where few prefills are answered their queues are
+            # the cause: a prefill given up in a queue leaves nothing cached and is done again elsewhere, so
+            # the time-out grows by the same ratio. Could harm where many engines fall silent at once.
+            send_time = self.transfers.expected_time(engine.number, request.size, now) or 0.0
+            timeout = min(
+                timeout, send_time + ATTEMPT_TARGETS * request.first_token_target * self.prefills_per_answer
+            )
+        request.actions.send(engine.number, timeout)
--- a/heathford/policy/transfer.py
+++ b/heathford/policy/transfer.py
@@ -1,29 +1,29 @@
-"""How long a request's bytes take to an engine, and when a send that is under way is given up; no I/O.
+"""How long a request's bytes take to reach an engine, and when a send in progress is given up; no I/O.
 
-The head of a request tells its engine a deadline and leaves first; the engine starts on the request when the
-last byte has come. So the deadline leaves out the time that a long send is expected to take.
+The head of a request, which is sent first, tells its engine the time left to the deadline; the engine starts
+once it has the last byte. So that time is reduced by what a long send is expected to take.
 """
 
 from dataclasses import dataclass
 from enum import Enum
 from math import inf
 
-PRESUMED_RATE = 1e6  # bytes a second of a connection to an engine of which nothing is known
-LONG = 65_536  # bytes from which a send tells of its connection; buffers take less than that at once
-SHORT = 0.05  # s up to which a send needs no time of its own: the deadline may be wrong by 0.15 s
-MARGIN = 1.25  # times its expected time that a send may take
-MOST_OF_LEFT = 0.5  # share of the time left that is kept for a send at most
-LATE_BY = 0.1  # s after its time until a send is given up: what the kernel has then follows in 0.15 s
-STALLED_AFTER = 0.1  # s in which nothing moves until a send is given up
-PROGRESS_CHECK_INTERVAL = 0.02  # s between two looks at a send
-KNOWN_FOR = 10.0  # s for which a connection counts as it was last seen
-RISE = 0.5  # share of a faster send that is believed; a slower one is believed at once
-TIDIED_AT = 512  # engines remembered from which those are forgotten whose time is over
-SLOW_ENGINES = 2  # that a request met, from which unknown engines are not tried any more
+ASSUMED_RATE = 1e6  # bytes per s of a connection to an engine of which nothing is known
+LONG_SEND = 65_536  # bytes from which a send measures its connection; buffers take smaller ones at once
+SHORT_SEND_TIME = 0.05  # s up to which a send reserves no time: the deadline told may be off by 0.15 s
+TIME_MARGIN = 1.25  # times its expected time that a send may take
+MAX_RESERVED_SHARE = 0.5  # share of the time left that is reserved for a send at most
+BEHIND_AFTER = 0.1  # s past its reserved time: what the kernel still holds then follows within 0.15 s
+STALLED_AFTER = 0.1  # s without progress after which a send is given up
+PROGRESS_CHECK_INTERVAL = 0.02  # s between two checks of a send
+RATE_MAX_AGE = 10.0  # s for which a measured rate is used
+RISE_SHARE = 0.5  # weight of a faster send; a slower one is believed at once
+CLEANUP_SIZE = 512  # remembered engines from which outdated rates are dropped
+MAX_SLOW_ENGINES = 2  # slow engines that a request has met, from which unknown engines are no longer tried
 
 
 class SendState(Enum):
-    """How a send goes that is under way."""
+    """How a send in progress goes."""
 
     PROGRESSING = "its bytes move"
     STALLED = "nothing has moved for a while"
@@ -32,85 +32,93 @@
 
 @dataclass
 class Send:
-    """One send under way. Times in s on the loop's clock; moved: bytes that have left this machine.
+    """One send in progress. Times are in s on the loop's clock; moved: bytes that have left this machine.
 
-    promised: s that its deadline leaves out. spent, still_for: s since it began, and since something moved
-    last, both without hold-ups of this process.
+    reserved_time: s by which the time told to the engine is reduced. spent, stalled_for: s since it began and
+    since its last progress, both without stalls of this process.
     """
 
     engine: int
     size: int
-    begun: float
+    started_at: float
     reserved_time: float
     moved: int = 0
-    looked_at: float = 0.0
+    checked_at: float = 0.0
     spent: float = 0.0
-    still_for: float = 0.0
+    stalled_for: float = 0.0
 
     def __post_init__(self) -> None:
-        self.looked_at = self.begun
+        self.checked_at = self.started_at
 
     def check_progress(self, now: float, moved: int) -> SendState:
-        """How it goes by now."""
-        passed, self.looked_at = min(now - self.looked_at, 2 * PROGRESS_CHECK_INTERVAL), now
+        """Record the bytes that have left by now and return how the send goes."""
+        passed, self.checked_at = min(now - self.checked_at, 2 * PROGRESS_CHECK_INTERVAL), now
         self.spent += passed
-        self.still_for = 0.0 if moved > self.moved else self.still_for + passed
+        self.stalled_for = 0.0 if moved > self.moved else self.stalled_for + passed
         self.moved = moved
         if self.stalled:
             return SendState.STALLED
-        return SendState.BEHIND if now - self.begun >= self.reserved_time + LATE_BY else SendState.PROGRESSING
+        return (
+            SendState.BEHIND
+            if now - self.started_at >= self.reserved_time + BEHIND_AFTER
+            else SendState.PROGRESSING
+        )
 
     @property
     def stalled(self) -> bool:
-        """Nothing has moved for a while."""
-        return self.still_for >= STALLED_AFTER
+        return self.stalled_for >= STALLED_AFTER
 
 
 class TransferRates:
-    """What is known of the connections to each engine, by its number, from long sends of this process."""
+    """The measured rates of connections to engines, by engine number, from long sends of this process."""
 
     def __init__(self) -> None:
-        self.rates: dict[int, tuple[float, float]] = {}  # bytes a second, and when that was seen
-        self.slow_until = -inf  # s on the loop's clock; some engine counts as slower than presumed till then
+        self.rates: dict[int, tuple[float, float]] = {}  # bytes per s, and when it was measured
+        self.slow_until = -inf  # s on the loop's clock until which some engine is slower than assumed
 
     def observe(self, send: Send, now: float) -> None:
-        """Learn from one that has arrived, or is given up as too slow."""
-        if send.size < LONG and send.moved >= send.size:
+        """Update the rate from a send that has arrived, or that was given up as too slow."""
+        if send.size < LONG_SEND and send.moved >= send.size:
             return
         rate = max(1, send.moved) / max(send.spent, PROGRESS_CHECK_INTERVAL)
         before, at = self.rates.get(send.engine, (0.0, -inf))
-        if before < rate and now - at < KNOWN_FOR:
-            rate = before + RISE * (rate - before)
+        if before < rate and now - at < RATE_MAX_AGE:
+            rate = before + RISE_SHARE * (rate - before)
         self.rates[send.engine] = rate, now
-        if rate < PRESUMED_RATE:
-            self.slow_until = now + KNOWN_FOR
-        if len(self.rates) >= TIDIED_AT:
-            self.rates = {e: seen for e, seen in self.rates.items() if now - seen[1] < KNOWN_FOR}
+        if rate < ASSUMED_RATE:
+            self.slow_until = now + RATE_MAX_AGE
+        if len(self.rates) >= CLEANUP_SIZE:
+            self.rates = {e: known for e, known in self.rates.items() if now - known[1] < RATE_MAX_AGE}
 
-    def matters(self, size: int, now: float) -> bool:
-        """Whether a request of that size may be too long for some engine."""
-        return size >= LONG or now < self.slow_until
+    def may_matter(self, size: int, now: float) -> bool:
+        """Return whether a request of that size may be too large for some engine's connection."""
+        return size >= LONG_SEND or now < self.slow_until
 
-    def expected(self, engine: int, size: int, now: float) -> float | None:
-        """s that a send of that size takes there; None where nothing is known."""
+    def expected_time(self, engine: int, size: int, now: float) -> float | None:
+        """Return the s that a send of that size takes to an engine; None where its rate is unknown."""
         rate, at = self.rates.get(engine, (0.0, -inf))
-        if now - at >= KNOWN_FOR:
+        if now - at >= RATE_MAX_AGE:
             self.rates.pop(engine, None)
             return None
         return size / rate
 
     def start(self, engine: int, size: int, left: float, now: float) -> Send:
-        """A send that begins now; left: s that remain to its deadline."""
-        expected = self.expected(engine, size, now)
-        seconds = size / PRESUMED_RATE if expected is None else expected
-        promised = 0.0 if seconds <= SHORT else min(MARGIN * seconds, MOST_OF_LEFT * left)
-        return Send(engine, size, now, promised)
-
-    def in_time(self, engine: int, size: int, now: float, by: float, slow_engines: int) -> bool:
-        """Whether a request of that size can be there by then. Guards against sends that are known not to
-        arrive in time: each costs a try. slow_engines: that this request has met; after some of them the way
-        is slow, not the engine. Could harm where the others are fast."""
-        expected = self.expected(engine, size, now)
+        """Return a send that starts now; left: s that remain to the request's deadline."""
+        expected = self.expected_time(engine, size, now)
+        seconds = size / ASSUMED_RATE if expected is None else expected
+        reserved = (
+            0.0 if seconds <= SHORT_SEND_TIME else min(TIME_MARGIN * seconds, MAX_RESERVED_SHARE * left)
+        )
+        return Send(engine, size, now, reserved)
+
+    def can_arrive_by(self, engine: int, size: int, now: float, by: float, slow_engine_count: int) -> bool:
+        """Return whether a request of that size can reach an engine by then.
+
+        Guards against sends that are known not to arrive in time, each of which costs an attempt.
+        slow_engine_count: slow engines that this request has met; after some of them the network is taken to
+        be slow, not the engine. Could harm where the other engines are fast.
+        """
+        expected = self.expected_time(engine, size, now)
         if expected is None:
-            return slow_engines < SLOW_ENGINES
+            return slow_engine_count < MAX_SLOW_ENGINES
         return now + expected <= by
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -10,8 +10,8 @@
 
 from heathford.interface import NEVER_RAN, Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import Router
-from heathford.policy.engine_state import REST_MOST, Engine
-from heathford.policy.estimators import Fit, mixed_features, read_features
+from heathford.policy.engine_state import MAX_COOLDOWN, Engine
+from heathford.policy.estimators import LatencyFit, combined_features, prefill_features
 
 New = Callable[..., RouterHarness]
 FLEET = ((10, 0), (11, 0), (12, 1), (13, 1), (14, 2))
@@ -24,19 +24,19 @@
 
 @pytest.mark.parametrize("slopes", [(0.02, 0.05), (0.0, 0.1), (0.3, 0.0)])
 def test_fit_finds_the_line_and_no_slope_is_negative(slopes: tuple[float, float]) -> None:
-    fit = Fit(2)
+    fit = LatencyFit(2)
     for i in range(200):
         tokens = 100 + 97 * (i % 40)
-        fit.add(read_features(tokens), slopes[0] + slopes[1] * tokens / 1000, 0.0)
+        fit.add(prefill_features(tokens), slopes[0] + slopes[1] * tokens / 1000, 0.0)
     assert fit.slopes == pytest.approx(slopes, abs=0.02)
 
 
 def test_one_stall_does_not_bend_a_fit() -> None:
-    fit = Fit(3)
+    fit = LatencyFit(3)
     for i in range(100):
-        fit.add(mixed_features(200 + 50 * (i % 30), 10_000), 0.1, 0.0)
-    fit.add(mixed_features(1000, 10_000), 60.0, 0.0)
-    assert fit.time(mixed_features(1000, 10_000)) < 0.2
+        fit.add(combined_features(200 + 50 * (i % 30), 10_000), 0.1, 0.0)
+    fit.add(combined_features(1000, 10_000), 60.0, 0.0)
+    assert fit.predict(combined_features(1000, 10_000)) < 0.2
 
 
 @pytest.mark.parametrize("prompt, kind", [(1500, "mixed"), (2500, "reader")])
@@ -61,8 +61,10 @@
     b.engines(*FLEET)
     for i in range(60):
         tokens = 100 + 100 * (i % 30)
-        b.router.prefill_fit.add(read_features(tokens), 0.1 + read_slope * tokens / 1000, b.now)
-        b.router.combined_fit.add(mixed_features(tokens, 0), 0.05 + mixed_slope * tokens / 1000, b.now - idle)
+        b.router.prefill_fit.add(prefill_features(tokens), 0.1 + read_slope * tokens / 1000, b.now)
+        b.router.combined_fit.add(
+            combined_features(tokens, 0), 0.05 + mixed_slope * tokens / 1000, b.now - idle
+        )
     b.take(3000)
     [(_, engine)] = b.asked()
     assert (engine in (10, 11)) == reader
@@ -242,7 +244,7 @@
     c = b.take()
     b.end(c, Outcome.PREFILLED)
     for _ in range(2):
-        if c.state:
+        if c.state_engine:
             b.end(c, Outcome.UNREACHABLE, after=each)
     asked = b.asked()
     assert sum(a[0] == "send" and a[1] != 10 for a in asked) == sends
@@ -272,7 +274,7 @@
 def test_reader_failing_fast_is_set_aside_and_returns_by_a_trickle(router_harness: New) -> None:
     b = router_harness()
     b.engines((10, 0), (12, 1), (13, 1), (14, 1))
-    b.router.good, b.router.counted_at = 100.0, b.now  # no jam
+    b.router.recent_in_time, b.router.counters_updated_at = 100.0, b.now  # no jam
     failed = b.take()
     b.end(failed, Outcome.UNREACHABLE, after=0.01)
     assert b.asked() == [("send", 10)]
@@ -283,7 +285,7 @@
     for _ in range(3):
         for c in [c for c in taken if c.current_attempt and c.current_attempt.is_prefill]:
             b.end(c, Outcome.PREFILLED, after=0.01)
-        trickles.append(b.router.engines[10].trickle)
+        trickles.append(b.router.engines[10].ramp_limit)
         b.wait(0.06)
     assert trickles == [2, 4, 6]  # two at once by the gate
 
@@ -293,7 +295,7 @@
     b.engines((10, 0))
     for _ in range(2000):
         b.now += 1.0
-        b.router.engines[10].went_badly(1.0, b.now, b.now)
+        b.router.engines[10].record_failure(1.0, b.now, b.now)
     assert b.now < b.router.engines[10].cooldowns[None][0] < b.now + 10.0
 
 
@@ -315,7 +317,7 @@
     b.engines((10, 0))
     engine = b.router.engines[10]
     for sent in (b.now, b.now + 0.1, b.now + 0.2):
-        engine.rest(None, sent, b.now + 1.0)
+        engine.cool_down(None, sent, b.now + 1.0)
     assert engine.cooldowns[None] == (b.now + 1.25, 0.25)
 
 
@@ -325,9 +327,9 @@
 ) -> None:
     b = router_harness()
     b.engines(*((n, 0) for n in range(10, 60)), *((n, 1) for n in range(60, 90)))
-    b.router.counted_at = b.now
+    b.router.counters_updated_at = b.now
     for i in range(40):
-        b.router.asked, b.router.good = asked, good
+        b.router.recent_requests, b.router.recent_in_time = asked, good
         b.take(session=str(i), shared=str(i))
     sent = sum(a[0] == "send" for a in b.asked())
     assert sent == let_in if let_in == 40 else 2 <= sent <= 16
@@ -376,7 +378,7 @@
     ring = router.rings[role][0]
     found: dict[Engine, str] = {}
     for text in map(str, range(1000)):
-        if engine := ring.draw(f"1:{text}", lambda e: True):
+        if engine := ring.pick(f"1:{text}", lambda e: True):
             found.setdefault(engine, text)
     return 20 * list(found.values())
 
@@ -398,17 +400,17 @@
         b.engines((20, 0), started=start)
         engine = b.router.engines[20]
         c = b.take()
-        b.router.slow_start.recent.extend(texts_for_each(b.router, Role.PREFILL))
-        engine.trickle = 0
-        b.router.read = b.router.heard = 0.0
+        b.router.slow_start.recent_keys.extend(texts_for_each(b.router, Role.PREFILL))
+        engine.ramp_limit = 0
+        b.router.recent_prefills = b.router.recent_prefill_answers = 0.0
         for i in range(int(-10 * per_second), int(8 * per_second) + 1):
             at = start + (i + number / fronts) / per_second
             if at >= start:
                 b.now, c.session = at, f"{number}-{i}"
                 if b.router.usable(engine, c):
-                    engine.cold_sends.append(at)
+                    engine.cold_attempts.append(at)
             b.router.answers.extend((at, b.router.engines[e]) for e in (11, 12))
-        sends += engine.cold_sends
+        sends += engine.cold_attempts
     for second in range(1, 6):
         held = sum(start + second <= at < start + second + 2 for at in sends) / 2
         assert 0.6 * budget <= held <= 1.3 * budget
@@ -423,9 +425,9 @@
     b = router_harness(fronts=200)
     b.engines((11, 0), (13, 1), (20, 0))
     c = b.take()
-    b.router.read, b.router.heard = 40.0, 40.0 * answered
+    b.router.recent_prefills, b.router.recent_prefill_answers = 40.0, 40.0 * answered
     b.engines((20, 0), started=b.now)
-    b.router.slow_start.recent.extend(texts_for_each(b.router, Role.PREFILL))
+    b.router.slow_start.recent_keys.extend(texts_for_each(b.router, Role.PREFILL))
     engine = b.router.engines[20]
     let_in = 0
     for i in range(1000):
@@ -482,7 +484,7 @@
         cold[i] = c.attempts[0].engine.number
         b.first(c)
         b.end(c, Outcome.FINISHED, closed=True)
-        b.router.engines[16].cold_sends.clear()
+        b.router.engines[16].cold_attempts.clear()
     b.now += 20.0
     for i in range(60):
         c = b.take(session=str(i), shared=f"text {i}", shared_tokens=4000)
@@ -513,9 +515,9 @@
     c = b.take(1900)
     b.first(c)
     b.end(c, Outcome.FINISHED, closed=True)
-    assert b.router.engines[14].kept(c) == 1900
+    assert b.router.engines[14].cached_tokens(c) == 1900
     b.engines((14, 2), started=b.now)
-    assert b.router.engines[14].kept(c) == 0
+    assert b.router.engines[14].cached_tokens(c) == 0
 
 
 def test_same_events_same_actions(router_harness: New) -> None:
@@ -547,7 +549,7 @@
 def test_a_full_pair_makes_its_own_wait_and_holds_up_no_others(router_harness: New) -> None:
     b = router_harness()
     b.engines((10, 0), (11, 0), (15, 0), (12, 1), (13, 1), (16, 1), (17, 1))
-    b.router.good, b.router.counted_at = 100.0, b.now  # no jam
+    b.router.recent_in_time, b.router.counters_updated_at = 100.0, b.now  # no jam
     for i in range(6):
         b.take(session=str(i), shared="text")
     readers = [e for _, e in b.asked()]
@@ -594,10 +596,10 @@
     b = router_harness()
     b.engines((10, 0), (12, 1))
     for _ in range(60):
-        b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
+        b.router.prefill_fit.add(prefill_features(5000), 2.0, b.now)
     asked = []
     for _ in range(2):
-        b.router.asked, b.router.counted_at = 3.5, b.now
+        b.router.recent_requests, b.router.counters_updated_at = 3.5, b.now
         c = b.take()
         asked += b.asked()
         c.client_left()
@@ -611,12 +613,12 @@
     b = router_harness()
     b.engines((10, 0), (11, 0), (12, 1), (13, 1))
     for _ in range(60):
-        b.router.prefill_fit.add(read_features(5000), 2.0, b.now)
-    b.router.asked, b.router.counted_at = 10.0, b.now
+        b.router.prefill_fit.add(prefill_features(5000), 2.0, b.now)
+    b.router.recent_requests, b.router.counters_updated_at = 10.0, b.now
     taken = [b.take(session=str(n)) for n in range(40)]
     assert not any(c.attempts for c in taken) and all(c.over for c in taken)
-    by_chance = sum(c.late_at == -inf for c in taken)
-    assert 0 < by_chance < 40 and b.router.asked == pytest.approx(10.0 + by_chance)
+    by_chance = sum(c.latest_start == -inf for c in taken)
+    assert 0 < by_chance < 40 and b.router.recent_requests == pytest.approx(10.0 + by_chance)
 
 
 @pytest.mark.parametrize("left, counts", [(0.6, False), (3.0, True)])
@@ -680,7 +682,7 @@
     c = b.take(deadline=b.now + 60.0)
     b.end(c, Outcome.PREFILLED)
     b.end(c, Outcome.ERROR)
-    b.router.engines[10].rest(None, b.now, b.now, rest)
+    b.router.engines[10].cool_down(None, b.now, b.now, rest)
     b.end(c, Outcome.FULL, detail=1)  # the state is gone: it waits for the reader
     b.asked()
     if gone:
@@ -820,7 +822,7 @@
         c = b.take()
         b.end(c, Outcome.FINISHED, closed=True)
         assert c.is_done and b.asked() == [("send", 12)]
-    assert b.router.good > 2.0
+    assert b.router.recent_in_time > 2.0
 
 
 def test_another_machine_under_a_known_number_is_taken_for_what_it_is(router_harness: New) -> None:
@@ -873,7 +875,7 @@
         assert c.is_done
 
 
-@pytest.mark.parametrize("after, writer", [(3.0, 22), (REST_MOST + 2.0, 12)])
+@pytest.mark.parametrize("after, writer", [(3.0, 22), (MAX_COOLDOWN + 2.0, 12)])
 def test_a_writer_that_was_slow_of_late_is_passed_over_while_another_of_the_zone_was_not(
     router_harness: New, after: float, writer: int
 ) -> None:
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -5,13 +5,13 @@
 
 from heathford.interface import PART_ARRIVED, GiveUpReason, Outcome
 from heathford.policy.transfer import (
-    KNOWN_FOR,
-    LATE_BY,
-    LONG,
+    RATE_MAX_AGE,
+    BEHIND_AFTER,
+    LONG_SEND,
     PROGRESS_CHECK_INTERVAL,
-    PRESUMED_RATE,
+    ASSUMED_RATE,
     STALLED_AFTER,
-    TIDIED_AT,
+    CLEANUP_SIZE,
     Send,
     SendState,
     TransferRates,
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize(
     "rate, state",
-    [(0.0, SendState.STALLED), (PRESUMED_RATE / 4, SendState.BEHIND), (PRESUMED_RATE, SendState.PROGRESSING)],
+    [(0.0, SendState.STALLED), (ASSUMED_RATE / 4, SendState.BEHIND), (ASSUMED_RATE, SendState.PROGRESSING)],
 )
 def test_a_send_that_moves_is_given_up_only_where_its_deadline_would_be_wrong(
     rate: float, state: SendState
@@ -48,7 +48,7 @@
     if state is SendState.PROGRESSING:
         assert ended * PROGRESS_CHECK_INTERVAL > SIZE / rate
     else:
-        after = STALLED_AFTER if state is SendState.STALLED else send.reserved_time + LATE_BY
+        after = STALLED_AFTER if state is SendState.STALLED else send.reserved_time + BEHIND_AFTER
         assert states[ended - 1] is state
         assert ended * PROGRESS_CHECK_INTERVAL == pytest.approx(after, abs=PROGRESS_CHECK_INTERVAL)
 
@@ -60,12 +60,12 @@
     send.check_progress(0.17, SIZE)
     rates = TransferRates()
     rates.observe(send, 0.17)
-    expected = rates.expected(1, SIZE, 0.2)
+    expected = rates.expected_time(1, SIZE, 0.2)
     assert expected == pytest.approx(3 * PROGRESS_CHECK_INTERVAL)
 
 
 @pytest.mark.parametrize(
-    "size, left, promised", [(20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / PRESUMED_RATE), (SIZE, 0.2, 0.1)]
+    "size, left, promised", [(20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / ASSUMED_RATE), (SIZE, 0.2, 0.1)]
 )
 def test_a_deadline_leaves_out_what_a_long_send_is_expected_to_take(
     size: int, left: float, promised: float
@@ -76,17 +76,19 @@
 def test_rates_fall_at_once_rise_by_halves_and_are_forgotten() -> None:
     rates = known(2e6)
     rates.observe(sent(1, 1e6), 1.0)
-    assert rates.expected(1, SIZE, 1.0) == pytest.approx(0.25)
+    assert rates.expected_time(1, SIZE, 1.0) == pytest.approx(0.25)
     rates.observe(sent(1, 3e6), 2.0)
-    assert rates.expected(1, SIZE, 2.0) == pytest.approx(0.125)
-    rates.observe(sent(1, 1e3, LONG - 1), 3.0)  # buffers take a short one at once, or this process was late
-    assert rates.expected(1, SIZE, 3.0) == pytest.approx(0.125)
-    assert rates.expected(1, SIZE, 2.0 + KNOWN_FOR) is None and not rates.rates
+    assert rates.expected_time(1, SIZE, 2.0) == pytest.approx(0.125)
+    rates.observe(
+        sent(1, 1e3, LONG_SEND - 1), 3.0
+    )  # buffers take a short one at once, or this process was late
+    assert rates.expected_time(1, SIZE, 3.0) == pytest.approx(0.125)
+    assert rates.expected_time(1, SIZE, 2.0 + RATE_MAX_AGE) is None and not rates.rates
 
 
 def test_a_short_send_that_falls_behind_teaches_its_rate() -> None:
     """Guards against one that is given up at each try, as nothing is learned from it."""
-    send = TransferRates().start(1, LONG // 2, 4.0, 0.0)
+    send = TransferRates().start(1, LONG_SEND // 2, 4.0, 0.0)
     rates = TransferRates()
     states = [
         send.check_progress(step * PROGRESS_CHECK_INTERVAL, int(1e5 * step * PROGRESS_CHECK_INTERVAL))
@@ -94,20 +96,20 @@
     ]
     assert states[-1] is SendState.BEHIND
     rates.observe(send, 0.1)
-    assert rates.start(1, LONG // 2, 4.0, 0.1).reserved_time == pytest.approx(1.25 * LONG / 2 / 1e5)
-    assert rates.matters(100, 0.1) and not rates.matters(100, 0.1 + KNOWN_FOR)
+    assert rates.start(1, LONG_SEND // 2, 4.0, 0.1).reserved_time == pytest.approx(1.25 * LONG_SEND / 2 / 1e5)
+    assert rates.may_matter(100, 0.1) and not rates.may_matter(100, 0.1 + RATE_MAX_AGE)
 
 
 def test_engines_that_left_are_forgotten() -> None:
     rates = TransferRates()
-    for engine in range(3 * TIDIED_AT):
+    for engine in range(3 * CLEANUP_SIZE):
         rates.observe(sent(engine, 2e6), float(engine))
-    assert len(rates.rates) <= TIDIED_AT
+    assert len(rates.rates) <= CLEANUP_SIZE
 
 
 @pytest.mark.parametrize("slow_engines, by, in_time", [(0, 0.0, True), (1, 0.0, True), (2, 9.0, False)])
 def test_an_unknown_engine_is_tried_until_two_were_slow(slow_engines: int, by: float, in_time: bool) -> None:
-    assert TransferRates().in_time(1, SIZE, 0.0, by, slow_engines) == in_time
+    assert TransferRates().can_arrive_by(1, SIZE, 0.0, by, slow_engines) == in_time
 
 
 def test_a_long_prompt_is_not_read_for_a_writer_that_it_can_not_reach_in_time() -> None:
@@ -118,7 +120,7 @@
     c = b.take(size=SIZE)
     assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
     assert b.retry_after == 0.0
-    b.take(size=LONG // 2)
+    b.take(size=LONG_SEND // 2)
     assert b.asked() == [("send", READER[0])]
     b.take(session="t", size=SIZE)
     b.asked()
