--- a/heathford/drill/__init__.py
+++ b/heathford/drill/__init__.py
@@ -1,1 +1,1 @@
-"""The simulator's wire: decodes events into calls on the decisions and encodes what they ask for."""
+"""The adapter for the simulator: decodes its events into calls on Router and encodes the Router's actions."""
--- a/heathford/drill/wire.py
+++ b/heathford/drill/wire.py
@@ -1,4 +1,7 @@
-"""Instances on the wire: one Front each, with nothing shared but the batch clock and the declared lists."""
+"""The simulator's events as calls on routers, and the routers' actions as messages to the simulator.
+
+The simulated front nodes share nothing but the clock of the batch and the endpoint lists that are defined.
+"""
 
 import sys
 import traceback
@@ -9,8 +12,8 @@
 from heathford.interface import RoutedRequest, Health, Outcome
 from heathford.policy import Router
 
-HEALTHS = {"on": Health.ON, "fading": Health.DRAINING, "off": Health.REMOVED}
-VERDICTS = {
+HEALTH_BY_NAME = {"on": Health.ON, "fading": Health.DRAINING, "off": Health.REMOVED}
+OUTCOME_BY_NAME = {
     "delivered": Outcome.FINISHED,
     "app_error": Outcome.ERROR,
     "shed": Outcome.FULL,
@@ -21,47 +24,51 @@
     "unused": Outcome.UNSENT,
     "READ": Outcome.PREFILLED,
 }
-LOADS = {"cpu": "slots", "waiting": "queue", "active": "held", "x0": "memory"}
+LOAD_KEYS = {"cpu": "slots", "waiting": "queue", "active": "held", "x0": "memory"}
 
 
-def nanoseconds(seconds: float) -> int:
+def to_nanoseconds(seconds: float) -> int:
     return max(0, round(seconds * NS_PER_SECOND))
 
 
 class BatchClock:
+    """The time of the batch that is being processed, in s."""
+
     now = 0.0
 
 
-class WireCompletion:
-    """Encodes what is done for one completion."""
+class WireRequest:
+    """The actions for one request, encoded as messages; implements heathford.interface.RequestActions."""
 
-    def __init__(self, act: Callable[[str, dict[str, Any]], None], completion: str) -> None:
-        self.act, self.completion = act, completion
+    def __init__(self, emit: Callable[[str, dict[str, Any]], None], request_id: str) -> None:
+        self.emit, self.request_id = emit, request_id
 
     def send(self, engine: int, timeout: float) -> None:
-        self.act("relay", {"id": self.completion, "engine": engine, "tryForNs": max(1, nanoseconds(timeout))})
+        self.emit(
+            "relay", {"id": self.request_id, "engine": engine, "tryForNs": max(1, to_nanoseconds(timeout))}
+        )
 
     def cancel(self, seq: int) -> None:
-        self.act("undoSend", {"id": self.completion, "seqNo": seq})
+        self.emit("undoSend", {"id": self.request_id, "seqNo": seq})
 
     def rate_limit(self, retry_after: float) -> None:
-        self.act("shed", {"id": self.completion, "coolDownNs": nanoseconds(retry_after)})
+        self.emit("shed", {"id": self.request_id, "coolDownNs": to_nanoseconds(retry_after)})
 
     def abort(self) -> None:
-        self.act("finishError", {"id": self.completion})
+        self.emit("finishError", {"id": self.request_id})
 
     def release(self) -> None:
-        self.act("release", {"id": self.completion})
+        self.emit("release", {"id": self.request_id})
 
 
-class Front:
-    """One instance: its router, and the handles of what it holds by their ids on the wire."""
+class FrontNode:
+    """One front node: its router, and the requests that are not done by their ids on the wire."""
 
     def __init__(
-        self, who: int, clock: BatchClock, output: list[dict[str, Any]], event: dict[str, Any]
+        self, front_id: int, clock: BatchClock, output: list[dict[str, Any]], event: dict[str, Any]
     ) -> None:
-        self.who, self.output = who, output
-        self.handles: dict[str, RoutedRequest] = {}
+        self.front_id, self.output = front_id, output
+        self.requests: dict[str, RoutedRequest] = {}
         info = event["bootInfo"]
         self.router = Router(
             clock,
@@ -71,44 +78,45 @@
             **read_router_settings(info),
         )
 
-    def act(self, name: str, fields: dict[str, Any]) -> None:
-        self.output.append({name: {"who": self.who, **fields}})
+    def emit(self, name: str, fields: dict[str, Any]) -> None:
+        self.output.append({name: {"who": self.front_id, **fields}})
 
     def wake(self, after: float) -> None:
-        self.act("setAlarm", {"sleepForNs": nanoseconds(after), "keyBack": 0})
+        self.emit("setAlarm", {"sleepForNs": to_nanoseconds(after), "keyBack": 0})
 
     def subscribe(self) -> None:
-        self.act("streamChanges", {"on": True})
+        self.emit("streamChanges", {"on": True})
 
     def trace(self, text: str) -> None:
-        self.act("trace", {"text": text})
+        self.emit("trace", {"text": text})
 
-    def fleet(self, event: dict[str, Any], rows: list[dict[str, Any]]) -> None:
+    def apply_endpoint_list(self, event: dict[str, Any], entries: list[dict[str, Any]]) -> None:
+        """Apply a snapshot or a change of the endpoint list, or the news that it is unavailable."""
         if event["scope"] == "unavailable":
             self.router.list_request_failed()
             return
         self.router.begin_list_update(complete=event["scope"] != "update")
-        for row in rows:
+        for entry in entries:
             try:
                 self.router.update_engine(
-                    row["engine"],
-                    row.get("rackZone", 0),
-                    row.get("model", 0),
-                    row.get("bay", 0),
-                    HEALTHS[row["health"]],
-                    row.get("nominal", 1.0),
-                    row.get("bootTimeNs", 0) / NS_PER_SECOND,
+                    entry["engine"],
+                    entry.get("rackZone", 0),
+                    entry.get("model", 0),
+                    entry.get("bay", 0),
+                    HEALTH_BY_NAME[entry["health"]],
+                    entry.get("nominal", 1.0),
+                    entry.get("bootTimeNs", 0) / NS_PER_SECOND,
                 )
-            except (KeyError, IndexError, TypeError) as problem:
-                # Guards against one entry that costs all others, whose drains are in the same list. Could
-                # harm where an engine is named by a kind that the settings don't have: it gets nothing.
-                self.trace(f"an entry that can't be read is passed over: {problem!r} in {str(row)[:80]}")
+            except (KeyError, IndexError, TypeError) as error:
+                # Guards against one invalid entry that discards all others, drains among them. An engine of a
+                # kind that the settings don't have gets no requests.
+                self.trace(f"an entry that can't be read is passed over: {error!r} in {str(entry)[:80]}")
         self.router.end_list_update()
 
-    def job_in(self, event: dict[str, Any]) -> None:
+    def accept_request(self, event: dict[str, Any]) -> None:
         key = event["id"]
-        handle = self.router.accept(
-            WireCompletion(self.act, key),
+        request = self.router.accept(
+            WireRequest(self.emit, key),
             event.get("type", 0),
             event.get("userGroup", 0),
             event.get("conversation", ""),
@@ -119,84 +127,88 @@
             event.get("workHintNs", 0) / NS_PER_SECOND,
             event["dueNs"] / NS_PER_SECOND,
         )
-        self.handles[key] = handle
+        self.requests[key] = request
 
-    def on_handle(self, name: str, event: dict[str, Any]) -> None:
-        handle = self.handles.get(event["id"])
-        if handle is None:  # late news of something over
+    def on_request_event(self, name: str, event: dict[str, Any]) -> None:
+        """Pass on an event of a request: its first token, the end of an attempt, or that its client left."""
+        request = self.requests.get(event["id"])
+        if request is None:  # a late event of a request that is done
             return
         if name == "ackFirst":
-            handle.first_token(event.get("seqNo", 0), event.get("latencyNs", 0) / NS_PER_SECOND)
+            request.first_token(event.get("seqNo", 0), event.get("latencyNs", 0) / NS_PER_SECOND)
         elif name == "attemptEnd":
-            load = {LOADS[k]: v for k, v in (event.get("healthInfo") or {}).items() if k in LOADS}
-            handle.ended(
+            load_report = {
+                LOAD_KEYS[k]: v for k, v in (event.get("healthInfo") or {}).items() if k in LOAD_KEYS
+            }
+            request.ended(
                 event.get("seqNo", 0),
-                VERDICTS[event["verdict"]],
+                OUTCOME_BY_NAME[event["verdict"]],
                 event.get("latencyNs", 0) / NS_PER_SECOND,
                 event.get("closed", False),
                 event.get("detail", 0),
-                load,
+                load_report,
             )
         else:
-            handle.client_left()
+            request.client_left()
 
     def decide(self) -> None:
         self.router.decide()
-        for key in [k for k, handle in self.handles.items() if handle.is_done]:
-            del self.handles[key]
+        for key in [k for k, request in self.requests.items() if request.is_done]:
+            del self.requests[key]
 
 
-class Host:
-    """All instances of this process."""
+class WireAdapter:
+    """All simulated front nodes of this process."""
 
     def __init__(self) -> None:
         self.clock = BatchClock()
-        self.fronts: dict[int, Front] = {}
-        self.lists: dict[int, list[dict[str, Any]]] = {}
+        self.fronts: dict[int, FrontNode] = {}
+        self.endpoint_lists: dict[int, list[dict[str, Any]]] = {}
         self.output: list[dict[str, Any]] = []
 
-    def play(self, clock_ns: int, events: list[dict[str, dict[str, Any]]]) -> list[dict[str, Any]]:
+    def run_batch(self, clock_ns: int, events: list[dict[str, dict[str, Any]]]) -> list[dict[str, Any]]:
+        """Process the events of one batch, let each front node concerned decide, and return all messages."""
         self.clock.now = clock_ns / NS_PER_SECOND
         self.output.clear()
         touched: dict[int, None] = {}
         for message in events:
             for name, event in message.items():
-                self.event(name, event)
+                self.handle_event(name, event)
                 if "who" in event:
                     touched[event["who"]] = None
-        for who in touched:
-            if who in self.fronts:
-                self.guarded(who, "decide", self.fronts[who].decide)
+        for front_id in touched:
+            if front_id in self.fronts:
+                self.report_exceptions(front_id, "decide", self.fronts[front_id].decide)
         return self.output
 
-    def event(self, name: str, event: dict[str, Any]) -> None:
+    def handle_event(self, name: str, event: dict[str, Any]) -> None:
         if name == "defineList":
-            self.lists[event["list"]] = event["rows"]
+            self.endpoint_lists[event["list"]] = event["rows"]
             return
-        who = event["who"]
+        front_id = event["who"]
         if name == "configure":
-            self.guarded(who, name, lambda: self.start(who, event))
+            self.report_exceptions(front_id, name, lambda: self.start_front(front_id, event))
             return
-        front = self.fronts.get(who)
+        front = self.fronts.get(front_id)
         if front is None:
-            print(f"heathford.drill: {name} for unknown instance {who}", file=sys.stderr)
+            print(f"heathford.drill: {name} event for unknown front node {front_id}", file=sys.stderr)
         elif name == "stop":
-            del self.fronts[who]
+            del self.fronts[front_id]
         elif name == "fleet":
-            rows = self.lists.get(event.get("list", -1), [])
-            self.guarded(who, name, lambda: front.fleet(event, rows))
+            entries = self.endpoint_lists.get(event.get("list", -1), [])
+            self.report_exceptions(front_id, name, lambda: front.apply_endpoint_list(event, entries))
         elif name == "jobIn":
-            self.guarded(who, name, lambda: front.job_in(event))
+            self.report_exceptions(front_id, name, lambda: front.accept_request(event))
         elif name in ("ackFirst", "attemptEnd", "dropped"):
-            self.guarded(who, name, lambda: front.on_handle(name, event))
+            self.report_exceptions(front_id, name, lambda: front.on_request_event(name, event))
 
-    def start(self, who: int, event: dict[str, Any]) -> None:
-        self.fronts[who] = Front(who, self.clock, self.output, event)
+    def start_front(self, front_id: int, event: dict[str, Any]) -> None:
+        self.fronts[front_id] = FrontNode(front_id, self.clock, self.output, event)
 
-    def guarded(self, who: int, name: str, call: Callable[[], None]) -> None:
-        """What goes wrong inside the decisions is reported as the wire provides, with its cause."""
+    def report_exceptions(self, front_id: int, name: str, call: Callable[[], None]) -> None:
+        """Call a front node; report an exception as the wire's exception message, with its cause."""
         try:
             call()
-        except Exception as problem:
+        except Exception as error:
             traceback.print_exc()
-            self.output.append({"exception": {"who": who, "text": f"{name}: {problem!r}"}})
+            self.output.append({"exception": {"who": front_id, "text": f"{name}: {error!r}"}})
