--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -1,7 +1,7 @@
-"""Many policies beside each other, no messages between them, on a clock of its own.
+"""A simulated fleet: many routers that exchange no messages, on a clock of its own.
 
-Engines answer in turn at their capacity, slower while they are cold; texts are asked for by Zipf's law; some
-engines come back cold under a burst, and some front nodes have just been restarted then.
+Engines serve requests one after the other, more slowly while they are cold. The popularity of shared prefixes
+follows Zipf's law. Some engines restart cold as a burst begins, and some front nodes restart at that moment.
 """
 
 from collections import defaultdict
@@ -13,21 +13,21 @@
 from heathford.interface import Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import RequestState, Router
 
-WINDOW = 1.0  # s in which the rule counts
+WINDOW = 1.0  # s over which the rule for cold engines counts attempts
 WARM_AFTER = 9.0  # s
-COLD_FROM = 0.3  # of its capacity that a cold engine has at first
-MULTIPLE = 2.5  # times its present capacity that it bears
+COLD_FROM = 0.3  # share of its capacity that a cold engine has at first
+COLD_MULTIPLE = 2.5  # times its present capacity: what the rule allows a cold engine
 CAPACITY = 8.0  # requests a second of a warm engine
 ENGINES = 16
-LOAD = 0.9  # of all engines' capacity
-BURST = 1.5  # times that, from the moment the engines are cold
+LOAD = 0.9  # share of all engines' capacity
+BURST_RATIO = 1.5  # times that load, from the restart of the cold engines on
 BURST_SECONDS = 3.0
-BEGIN = 100.0  # s on the clock
-COLD_AT = BEGIN + 5.0
-DAY = 12.0  # s
-RESTARTED = 0.2  # of the front nodes, in that moment
-TEXTS = 100
-SHARING = 0.9  # of the requests begin with one of the texts
+START_TIME = 100.0  # s on the clock
+COLD_AT = START_TIME + 5.0
+DURATION = 12.0  # s
+RESTARTED_SHARE = 0.2  # share of the front nodes that restart with the cold engines
+SHARED_PREFIXES = 100
+SHARED_SHARE = 0.9  # share of the requests that begin with a shared prefix
 
 LAYOUTS = {
     "combined": [EngineKind(Role.COMBINED, 0)],
@@ -35,15 +35,15 @@
 }
 
 
-class RequestDoor:
-    """What a policy can do for one request."""
+class SimulatedRequest:
+    """One request; implements heathford.interface.RequestActions."""
 
-    def __init__(self, fleet: "Fleet", front: "FrontNode") -> None:
+    def __init__(self, fleet: "SimulatedFleet", front: "SimulatedFrontNode") -> None:
         self.fleet, self.front, self.attempts = fleet, front, 0
-        self.handle: RequestState | None = None
+        self.state: RequestState | None = None
 
     def send(self, engine: int, timeout: float) -> None:
-        self.fleet.begin(self, self.attempts, engine, timeout)
+        self.fleet.simulate_attempt(self, self.attempts, engine, timeout)
         self.attempts += 1
 
     def cancel(self, seq: int) -> None: ...
@@ -55,10 +55,10 @@
     def release(self) -> None: ...
 
 
-class FrontNode:
-    """One policy, which may start over."""
+class SimulatedFrontNode:
+    """One router, which may restart."""
 
-    def __init__(self, fleet: "Fleet", number: int) -> None:
+    def __init__(self, fleet: "SimulatedFleet", number: int) -> None:
         self.fleet, self.number = fleet, number
         self.start()
 
@@ -80,14 +80,14 @@
             2.0,
             WARM_AFTER,
             COLD_FROM,
-            MULTIPLE,
+            COLD_MULTIPLE,
             WINDOW,
             False,
             False,
         )
-        self.tell(True, list(fleet.started))
+        self.apply_endpoint_list(True, list(fleet.started))
 
-    def tell(self, complete: bool, engines: list[int]) -> None:
+    def apply_endpoint_list(self, complete: bool, engines: list[int]) -> None:
         self.router.begin_list_update(complete)
         for engine in engines:
             kind = engine % len(self.fleet.kinds)
@@ -102,8 +102,8 @@
     def trace(self, text: str) -> None: ...
 
 
-class Fleet:
-    """All front nodes and engines."""
+class SimulatedFleet:
+    """All front nodes and engines, and the schedule of events."""
 
     def __init__(
         self,
@@ -112,88 +112,88 @@
         cold: int,
         seed: int,
         capacity: float = CAPACITY,
-        day: float = DAY,
-        restarted: float = RESTARTED,
+        duration: float = DURATION,
+        restarted: float = RESTARTED_SHARE,
     ) -> None:
-        self.random, self.now, self.fronts, self.kinds = Random(seed), BEGIN, fronts, kinds
+        self.random, self.now, self.fronts, self.kinds = Random(seed), START_TIME, fronts, kinds
         self.capacity, self.restarted = capacity, restarted
         self.workloads = [Workload(1.0, 0.0, 0.05, Effect.IDEMPOTENT, Group.ALL, 2.0, 1.0)]
-        self.set_up()
-        self.order, self.agenda = count(), list[tuple[float, int, Callable[[], None]]]()
+        self.set_workloads()
+        self.event_count, self.schedule = count(), list[tuple[float, int, Callable[[], None]]]()
         self.started = dict.fromkeys(range(1, ENGINES + 1), 0.0)
         self.cold = list(self.started)[:cold]
         self.busy_until: dict[int, float] = defaultdict(float)
-        self.sends: dict[int, list[float]] = defaultdict(list)
-        self.nodes = [FrontNode(self, number) for number in range(fronts)]
-        self.at(COLD_AT, self.come_back_cold)
-        at = BEGIN
-        while at < BEGIN + day:
+        self.attempts_by_engine: dict[int, list[float]] = defaultdict(list)
+        self.nodes = [SimulatedFrontNode(self, number) for number in range(fronts)]
+        self.at(COLD_AT, self.restart_engines_cold)
+        at = START_TIME
+        while at < START_TIME + duration:
             bursting = COLD_AT < at < COLD_AT + BURST_SECONDS
-            rate = ENGINES * capacity / len(kinds) * LOAD * (BURST if bursting else 1.0)
+            rate = ENGINES * capacity / len(kinds) * LOAD * (BURST_RATIO if bursting else 1.0)
             at += self.random.expovariate(rate)
-            self.at(at, self.ask)
+            self.at(at, self.send_request)
 
-    def set_up(self) -> None:
-        """For worlds that differ: called before any front node starts."""
+    def set_workloads(self) -> None:
+        """Set other workloads in a subclass; called before any front node starts."""
 
-    def at(self, when: float, do: Callable[[], None]) -> None:
-        heappush(self.agenda, (when, next(self.order), do))
+    def at(self, when: float, action: Callable[[], None]) -> None:
+        heappush(self.schedule, (when, next(self.event_count), action))
 
     def run(self) -> None:
-        while self.agenda:
-            self.now, _, do = heappop(self.agenda)
-            do()
+        while self.schedule:
+            self.now, _, action = heappop(self.schedule)
+            action()
 
-    def come_back_cold(self) -> None:
+    def restart_engines_cold(self) -> None:
         for engine in self.cold:
             self.started[engine] = self.now
         for node in self.nodes:
             if self.random.random() < self.restarted:
                 node.start()
             else:
-                node.tell(False, self.cold)
+                node.apply_endpoint_list(False, self.cold)
 
-    def ask(self) -> None:
+    def send_request(self) -> None:
         node = self.random.choice(self.nodes)
-        door = RequestDoor(self, node)
-        popularity = [1 / (text + 1) for text in range(TEXTS)]
-        text = self.random.choices(range(TEXTS), popularity)[0]
-        shared = str(text) if self.random.random() < SHARING else ""
+        request = SimulatedRequest(self, node)
+        popularity = [1 / (text + 1) for text in range(SHARED_PREFIXES)]
+        text = self.random.choices(range(SHARED_PREFIXES), popularity)[0]
+        shared = str(text) if self.random.random() < SHARED_SHARE else ""
         prompt = self.random.choice((300, 1500, 3000, 6000))
         session = str(self.random.random())
-        door.handle = node.router.accept(
-            door, 0, 0, session, shared, prompt, prompt // 2 if shared else 0, 100, 0.0, self.now + 4.0
+        request.state = node.router.accept(
+            request, 0, 0, session, shared, prompt, prompt // 2 if shared else 0, 100, 0.0, self.now + 4.0
         )
         node.router.decide()
 
-    def begin(self, door: RequestDoor, attempt: int, engine: int, timeout: float) -> None:
-        """An attempt: the engine serves one after the other, slower while it is cold."""
-        self.sends[engine].append(self.now)
+    def simulate_attempt(self, request: SimulatedRequest, attempt: int, engine: int, timeout: float) -> None:
+        """Schedule how an attempt ends: its engine serves one at a time, more slowly while it is cold."""
+        self.attempts_by_engine[engine].append(self.now)
         warm = min(1.0, (self.now - self.started[engine]) / WARM_AFTER) if self.started[engine] else 1.0
         capacity = self.capacity * (COLD_FROM + (1 - COLD_FROM) * warm)
         self.busy_until[engine] = max(self.now, self.busy_until[engine]) + 1 / capacity
-        takes = self.busy_until[engine] - self.now + 0.05
+        latency = self.busy_until[engine] - self.now + 0.05
         role = self.kinds[engine % len(self.kinds)].role
-        if takes >= timeout:
-            self.later(timeout, door, attempt, Outcome.TIMED_OUT)
+        if latency >= timeout:
+            self.end_later(timeout, request, attempt, Outcome.TIMED_OUT)
         elif role is Role.PREFILL:
-            self.later(takes, door, attempt, Outcome.PREFILLED)
+            self.end_later(latency, request, attempt, Outcome.PREFILLED)
         else:
-            self.at(self.now + takes, lambda: self.first_token(door, attempt, takes))
-            self.later(takes + 1.0, door, attempt, Outcome.FINISHED)
+            self.at(self.now + latency, lambda: self.first_token(request, attempt, latency))
+            self.end_later(latency + 1.0, request, attempt, Outcome.FINISHED)
 
-    def first_token(self, door: RequestDoor, attempt: int, latency: float) -> None:
-        assert door.handle
-        door.handle.first_token(attempt, latency)
-        door.front.router.decide()
+    def first_token(self, request: SimulatedRequest, attempt: int, latency: float) -> None:
+        assert request.state
+        request.state.first_token(attempt, latency)
+        request.front.router.decide()
 
-    def later(self, after: float, door: RequestDoor, attempt: int, verdict: Outcome) -> None:
+    def end_later(self, after: float, request: SimulatedRequest, attempt: int, outcome: Outcome) -> None:
         def end() -> None:
-            assert door.handle
-            door.handle.ended(attempt, verdict, after, verdict is Outcome.FINISHED, 0, {})
-            door.front.router.decide()
+            assert request.state
+            request.state.ended(attempt, outcome, after, outcome is Outcome.FINISHED, 0, {})
+            request.front.router.decide()
 
         self.at(self.now + after, end)
 
-    def cold_sends(self, engine: int) -> list[float]:
-        return [at for at in self.sends[engine] if COLD_AT <= at < COLD_AT + WARM_AFTER]
+    def cold_attempts(self, engine: int) -> list[float]:
+        return [at for at in self.attempts_by_engine[engine] if COLD_AT <= at < COLD_AT + WARM_AFTER]
--- a/tests/test_fairness_play.py
+++ b/tests/test_fairness_play.py
@@ -1,6 +1,7 @@
-"""Long prompts and single sessions get their part: the policy alone, beside others, under several settings.
+"""Long prompts and single sessions get their share of answers, with several routers and several settings.
 
-Engines read in turn, so a long prompt takes its time there; sizes within a class differ more than tenfold.
+Engines prefill one prompt at a time, so that a long one takes longer; lengths within a workload differ more
+than tenfold.
 """
 
 from collections import defaultdict
@@ -8,17 +9,29 @@
 from functools import partial
 
 import pytest
-from policy_fleet import BEGIN, CAPACITY, ENGINES, LAYOUTS, LOAD, Fleet, FrontNode, RequestDoor
+from policy_fleet import (
+    START_TIME,
+    CAPACITY,
+    ENGINES,
+    LAYOUTS,
+    LOAD,
+    SimulatedFleet,
+    SimulatedFrontNode,
+    SimulatedRequest,
+)
 
 from heathford.interface import Effect, Group, EngineKind, Role, Outcome, Workload
 
-DAY = 24.0  # s in which requests arrive
+DURATION = 24.0  # s in which requests arrive
 FRONTS = 12
-LARGEST, NEXT = 0.1, 0.2  # of a class's requests, by prompt
-FEW, LARGEST_OF_FEW = 400, 0.25  # as the users count: a tenth of few requests would say nothing
-QUIET, BUSY = 0.5, 1.2  # of all engines' capacity; for some seconds half as much again
-SPREAD = 0.9  # of the logarithm of prompt lengths
-TURNS = 5  # requests from which on a session can be said to be refused throughout
+LARGEST_SHARE, NEXT_SHARE = 0.1, 0.2  # shares of a workload's requests, by prompt length
+FEW_REQUESTS, LARGEST_SHARE_OF_FEW = (
+    400,
+    0.25,
+)  # a tenth of fewer requests would say nothing
+QUIET_LOAD, BUSY_LOAD = 0.5, 1.2  # shares of all engines' capacity; for some s half as much again
+PROMPT_LENGTH_SIGMA = 0.9  # standard deviation of the logarithm of prompt lengths
+MIN_SESSION_REQUESTS = 5  # from which a session can be said to be refused throughout
 
 SETTINGS = {
     "three classes": [
@@ -39,109 +52,123 @@
 
 
 @dataclass
-class Asked:
-    """One request and what became of it."""
+class ClientRequest:
+    """One request, and whether it was answered."""
 
-    request_class: int
+    workload: int
     session: str
     prompt: int
     answered: bool = False
 
 
-class World(Fleet):
-    """Requests of several classes and sizes; their engines read one after the other."""
-
-    def __init__(self, load: float, kinds: list[EngineKind], classes: list[Workload], seed: int) -> None:
-        self.load, self.classes = load, classes
-        self.asked: dict[RequestDoor, Asked] = {}
-        super().__init__(FRONTS, kinds, cold=0, seed=seed, day=DAY)
-
-    def set_up(self) -> None:
-        self.workloads = self.classes
-
-    def ask(self) -> None:
-        node: FrontNode = self.random.choice(self.nodes)
-        place = self.random.randrange(len(self.classes))
-        prompt = int(self.random.lognormvariate(7.0, SPREAD))
-        text = str(self.random.randrange(30)) if self.random.random() < 0.6 else ""
-        session = f"{place}.{self.random.randrange(40)}"
-        door = RequestDoor(self, node)
-        self.asked[door] = Asked(place, session, prompt)
-        target = self.classes[place].latency_target
-        door.handle = node.router.accept(
-            door,
-            place,
+class MixedFleet(SimulatedFleet):
+    """Requests of several workloads and sizes, at engines that prefill one prompt at a time."""
+
+    def __init__(
+        self, load: float, kinds: list[EngineKind], request_workloads: list[Workload], seed: int
+    ) -> None:
+        self.load, self.request_workloads = load, request_workloads
+        self.client_requests: dict[SimulatedRequest, ClientRequest] = {}
+        super().__init__(FRONTS, kinds, cold=0, seed=seed, duration=DURATION)
+
+    def set_workloads(self) -> None:
+        self.workloads = self.request_workloads
+
+    def send_request(self) -> None:
+        node: SimulatedFrontNode = self.random.choice(self.nodes)
+        workload = self.random.randrange(len(self.request_workloads))
+        prompt = int(self.random.lognormvariate(7.0, PROMPT_LENGTH_SIGMA))
+        shared_prefix = str(self.random.randrange(30)) if self.random.random() < 0.6 else ""
+        session = f"{workload}.{self.random.randrange(40)}"
+        request = SimulatedRequest(self, node)
+        self.client_requests[request] = ClientRequest(workload, session, prompt)
+        target = self.request_workloads[workload].latency_target
+        request.state = node.router.accept(
+            request,
+            workload,
             0,
             session,
-            text,
+            shared_prefix,
             prompt,
-            min(prompt // 2, 500) if text else 0,
+            min(prompt // 2, 500) if shared_prefix else 0,
             100,
             0.0,
             self.now + 4 * target,
         )
         node.router.decide()
 
-    def begin(self, door: RequestDoor, attempt: int, engine: int, timeout: float) -> None:
+    def simulate_attempt(self, request: SimulatedRequest, attempt: int, engine: int, timeout: float) -> None:
         role = self.kinds[engine % len(self.kinds)].role
-        mean = 1645.0  # tokens: of prompts drawn as above
-        work = 0.0 if role is Role.DECODE else self.asked[door].prompt / mean / CAPACITY * self.load / LOAD
+        mean = 1645.0  # tokens: of the prompts drawn in send_request
+        work = (
+            0.0
+            if role is Role.DECODE
+            else self.client_requests[request].prompt / mean / CAPACITY * self.load / LOAD
+        )
         self.busy_until[engine] = max(self.now, self.busy_until[engine]) + work
-        takes = self.busy_until[engine] - self.now + 0.02
-        if takes >= timeout:
-            self.later(timeout, door, attempt, Outcome.TIMED_OUT)
+        latency = self.busy_until[engine] - self.now + 0.02
+        if latency >= timeout:
+            self.end_later(timeout, request, attempt, Outcome.TIMED_OUT)
         elif role is Role.PREFILL:
-            self.later(takes, door, attempt, Outcome.PREFILLED)
+            self.end_later(latency, request, attempt, Outcome.PREFILLED)
         else:
-            self.at(self.now + takes, partial(self.first_token, door, attempt, takes))
-            self.later(takes + 1.0, door, attempt, Outcome.FINISHED)
+            self.at(self.now + latency, partial(self.first_token, request, attempt, latency))
+            self.end_later(latency + 1.0, request, attempt, Outcome.FINISHED)
 
-    def first_token(self, door: RequestDoor, attempt: int, latency: float) -> None:
-        self.asked[door].answered = True
-        super().first_token(door, attempt, latency)
+    def first_token(self, request: SimulatedRequest, attempt: int, latency: float) -> None:
+        self.client_requests[request].answered = True
+        super().first_token(request, attempt, latency)
 
-    def by_class(self) -> dict[int, list[Asked]]:
+    def by_workload(self) -> dict[int, list[ClientRequest]]:
         found = defaultdict(list)
-        for asked in self.asked.values():
-            found[asked.request_class].append(asked)
+        for request in self.client_requests.values():
+            found[request.workload].append(request)
         return found
 
 
-def share(asked: list[Asked]) -> float:
-    return sum(one.answered for one in asked) / len(asked)
+def answered_share(requests: list[ClientRequest]) -> float:
+    return sum(request.answered for request in requests) / len(requests)
 
 
-def played(load: float, layout: str, settings: str, seed: int) -> World:
-    world = World(load, LAYOUTS[layout], SETTINGS[settings], seed)
-    world.run()
-    assert len(world.asked) > 0.8 * DAY * ENGINES * CAPACITY / len(LAYOUTS[layout]) * LOAD
-    assert min(world.asked, key=lambda door: 0) and world.now > BEGIN + DAY - 1.0
-    return world
+def run_fleet(load: float, layout: str, settings: str, seed: int) -> MixedFleet:
+    fleet = MixedFleet(load, LAYOUTS[layout], SETTINGS[settings], seed)
+    fleet.run()
+    assert len(fleet.client_requests) > 0.8 * DURATION * ENGINES * CAPACITY / len(LAYOUTS[layout]) * LOAD
+    assert min(fleet.client_requests, key=lambda request: 0) and fleet.now > START_TIME + DURATION - 1.0
+    return fleet
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("settings", SETTINGS)
 @pytest.mark.parametrize("layout", LAYOUTS)
-@pytest.mark.parametrize("load, part", [(QUIET, 2 / 3), (BUSY, 1 / 2)], ids=["quiet", "busy"])
-def test_the_largest_requests_keep_their_part_of_their_class(
-    load: float, part: float, layout: str, settings: str, seed: int
+@pytest.mark.parametrize("load, min_ratio", [(QUIET_LOAD, 2 / 3), (BUSY_LOAD, 1 / 2)], ids=["quiet", "busy"])
+def test_the_largest_requests_are_answered_nearly_as_often_as_their_workload(
+    load: float, min_ratio: float, layout: str, settings: str, seed: int
 ) -> None:
-    """Guards against load shedding that always meets the longest prompts."""
-    for request_class, asked in played(load, layout, settings, seed).by_class().items():
-        asked.sort(key=lambda one: -one.prompt)
-        first = LARGEST_OF_FEW if len(asked) < FEW else LARGEST
-        largest = asked[: int(first * len(asked))]
-        following = asked[len(largest) : int((first + NEXT) * len(asked))]
-        for name, some in (("largest", largest), ("next", following)):
-            assert share(some) >= part * share(asked), f"{name} of class {request_class}"
+    """Guards against load shedding that always sheds the longest prompts."""
+    for workload, requests in run_fleet(load, layout, settings, seed).by_workload().items():
+        requests.sort(key=lambda request: -request.prompt)
+        first = LARGEST_SHARE_OF_FEW if len(requests) < FEW_REQUESTS else LARGEST_SHARE
+        largest = requests[: int(first * len(requests))]
+        following = requests[len(largest) : int((first + NEXT_SHARE) * len(requests))]
+        for name, group in (("largest", largest), ("next", following)):
+            assert answered_share(group) >= min_ratio * answered_share(requests), (
+                f"{name} of workload {workload}"
+            )
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("settings", SETTINGS)
 @pytest.mark.parametrize("layout", LAYOUTS)
-def test_no_session_is_refused_throughout_while_there_is_room(layout: str, settings: str, seed: int) -> None:
+def test_no_session_is_refused_throughout_while_there_is_capacity(
+    layout: str, settings: str, seed: int
+) -> None:
     sessions = defaultdict(list)
-    for asked in played(QUIET, layout, settings, seed).asked.values():
-        sessions[asked.session].append(asked)
-    refused = [name for name, asked in sessions.items() if len(asked) >= TURNS and not share(asked)]
+    for request in run_fleet(QUIET_LOAD, layout, settings, seed).client_requests.values():
+        sessions[request.session].append(request)
+    refused = [
+        name
+        for name, requests in sessions.items()
+        if len(requests) >= MIN_SESSION_REQUESTS and not answered_share(requests)
+    ]
     assert not refused
--- a/tests/test_module_play.py
+++ b/tests/test_module_play.py
@@ -1,7 +1,6 @@
-"""The module alone in a small world: any settings, engines that fail, hang and drain; five rules asserted.
+"""A router alone under drawn settings, with engines that fail, hang and drain; five rules are asserted.
 
-Nothing here is scored: settings are drawn far wider than any deployment states them, and each play is the
-same at each run.
+Settings are drawn far wider than any deployment states them. Each run draws the same ones.
 """
 
 from heapq import heappop, heappush
@@ -17,114 +16,123 @@
 from heathford.interface import NEVER_RAN, Effect, Group, Health, EngineKind, Role, Outcome, Workload
 from heathford.policy import RequestState, Router
 
-DAY = 12.0  # s in which completions arrive
-FAILURES = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNREACHABLE, Outcome.FULL, Outcome.UNSENT)
+DURATION = 12.0  # s in which requests arrive
+FAILURE_OUTCOMES = (Outcome.ERROR, Outcome.BROKEN, Outcome.UNREACHABLE, Outcome.FULL, Outcome.UNSENT)
 
 
-class Dispatched:
-    def __init__(self, engine: int, role: Role, place: tuple[int, int], sent: float) -> None:
-        self.engine, self.role, self.place, self.sent = engine, role, place, sent
-        self.verdict: Outcome | None = None
+class SimulatedAttempt:
+    def __init__(self, engine: int, role: Role, zone_and_cell: tuple[int, int], sent: float) -> None:
+        self.engine, self.role, self.zone_and_cell, self.sent_at = engine, role, zone_and_cell, sent
+        self.outcome: Outcome | None = None
         self.streaming = False
 
 
-class Asked:
-    """A completion's client and carrier: what the module may do for it is checked as it is done."""
+class SimulatedRequest:
+    """One request, its client and its actions, each of which is checked as it is called."""
 
-    def __init__(self, world: "World", workload: Workload, due: float) -> None:
-        self.world, self.workload, self.due = world, workload, due
-        self.dispatches: list[Dispatched] = []
-        self.final = ""
-        self.held_since: float | None = None  # a state waits at a reader, and nothing is out for it
-        self.handle: RequestState | None = None
+    def __init__(self, world: "World", workload: Workload, deadline: float) -> None:
+        self.world, self.workload, self.deadline = world, workload, deadline
+        self.attempts: list[SimulatedAttempt] = []
+        self.final_answer = ""
+        # Since when a state waits at a prefill engine, with no attempt in flight.
+        self.held_since: float | None = None
+        self.state: RequestState | None = None
 
     @property
-    def risky(self) -> list[Dispatched]:
-        return [d for d in self.dispatches if d.role is not Role.PREFILL and d.verdict not in NEVER_RAN]
-
-    def close(self, how: str) -> None:
-        assert not self.final, f"{how} after {self.final}"
-        assert self.world.now <= self.due + 1e-6, f"{how} {self.world.now - self.due} s late"
-        self.final = how
+    def possibly_run(self) -> list[SimulatedAttempt]:
+        return [
+            attempt
+            for attempt in self.attempts
+            if attempt.role is not Role.PREFILL and attempt.outcome not in NEVER_RAN
+        ]
+
+    def answer(self, kind: str) -> None:
+        assert not self.final_answer, f"{kind} after {self.final_answer}"
+        assert self.world.now <= self.deadline + 1e-6, f"{kind} {self.world.now - self.deadline} s late"
+        self.final_answer = kind
 
     # heathford.interface.RequestActions
 
     def send(self, engine: int, timeout: float) -> None:
         world, now = self.world, self.world.now
-        role, health, place = world.engines[engine]
-        assert not self.final and timeout > 0.0 and now + timeout <= self.due + 1e-6
-        assert all(d.verdict for d in self.dispatches), "two out at once"
-        assert health is Health.ON, "sent to one that drains or is gone"
-        assert len(self.dispatches) < world.try_limit
-        effect, group, risky = self.workload.effect, self.workload.group, self.risky
-        assert not risky or effect is not Effect.NON_IDEMPOTENT, "an effect may come twice"
-        if risky and effect is Effect.IDEMPOTENCY_KEYED and role is not Role.PREFILL:
+        role, health, zone_and_cell = world.engines[engine]
+        assert not self.final_answer and timeout > 0.0 and now + timeout <= self.deadline + 1e-6
+        assert all(attempt.outcome for attempt in self.attempts), "two attempts in flight at once"
+        assert health is Health.ON, "sent to an engine that drains or is removed"
+        assert len(self.attempts) < world.try_limit
+        effect, group, earlier = self.workload.effect, self.workload.group, self.possibly_run
+        assert not earlier or effect is not Effect.NON_IDEMPOTENT, "an effect may come twice"
+        if earlier and effect is Effect.IDEMPOTENCY_KEYED and role is not Role.PREFILL:
             same = [
-                group is Group.ALL or d.place == place or (group is Group.ZONE and d.place[0] == place[0])
-                for d in risky
+                group is Group.ALL
+                or attempt.zone_and_cell == zone_and_cell
+                or (group is Group.ZONE and attempt.zone_and_cell[0] == zone_and_cell[0])
+                for attempt in earlier
             ]
-            assert all(same) and now - risky[0].sent < self.workload.key_ttl
-        world.sends.append((now, engine))
+            assert all(same) and now - earlier[0].sent_at < self.workload.key_ttl
+        world.attempts_sent.append((now, engine))
         self.held_since = None
-        self.dispatches.append(Dispatched(engine, role, place, now))
-        world.play_out(self, len(self.dispatches) - 1, timeout)
+        self.attempts.append(SimulatedAttempt(engine, role, zone_and_cell, now))
+        world.simulate_attempt(self, len(self.attempts) - 1, timeout)
 
     def cancel(self, seq: int) -> None:
-        self.world.after(0.0, lambda: self.end(seq, Outcome.CANCELLED))
+        self.world.call_after(0.0, lambda: self.end(seq, Outcome.CANCELLED))
 
     def rate_limit(self, retry_after: float) -> None:
         effect = self.workload.effect
         known = effect is Effect.IDEMPOTENT or (
             effect is Effect.IDEMPOTENCY_KEYED and self.workload.group is Group.ALL
         )
-        assert known or not self.risky, "a repeat may do harm"
+        assert known or not self.possibly_run, "a repeat may do harm"
         assert 0.0 <= retry_after <= self.world.longest_retry
-        assert all(d.verdict for d in self.dispatches)
-        self.close("rate-limited")
+        assert all(attempt.outcome for attempt in self.attempts)
+        self.answer("rate-limited")
 
     def abort(self) -> None:
-        assert self.risky, "aborted though nothing ran"
-        self.close("aborted")
+        assert self.possibly_run, "aborted though no attempt may have run"
+        self.answer("aborted")
 
     def release(self) -> None:
         self.held_since = None
 
-    # What the world does.
+    # Events of the simulated engines and clients.
 
     def first_token(self, seq: int) -> None:
-        dispatch = self.dispatches[seq]
-        if dispatch.verdict or self.final:
+        attempt = self.attempts[seq]
+        if attempt.outcome or self.final_answer:
             return
-        dispatch.streaming = True
-        assert self.handle
-        self.handle.first_token(seq, self.world.now - dispatch.sent)
-        self.due = 1e9  # its client has a stream now: the client timeout stops
+        attempt.streaming = True
+        assert self.state
+        self.state.first_token(seq, self.world.now - attempt.sent_at)
+        self.deadline = 1e9  # its client has a stream now, so that its deadline no longer counts
         self.world.decide()
 
-    def end(self, seq: int, verdict: Outcome, detail: int = 0) -> None:
-        dispatch, world = self.dispatches[seq], self.world
-        if dispatch.verdict:
+    def end(self, seq: int, outcome: Outcome, detail: int = 0) -> None:
+        attempt, world = self.attempts[seq], self.world
+        if attempt.outcome:
             return
-        dispatch.verdict = verdict
-        if verdict is Outcome.PREFILLED:
+        attempt.outcome = outcome
+        if outcome is Outcome.PREFILLED:
             self.held_since = world.now
-        if not self.final and verdict is Outcome.FINISHED:
-            self.close("finished")
-        elif not self.final and dispatch.streaming:
-            self.close("aborted")
-        assert self.handle
-        self.handle.ended(seq, verdict, world.now - dispatch.sent, bool(self.final), detail, {})
+        if not self.final_answer and outcome is Outcome.FINISHED:
+            self.answer("finished")
+        elif not self.final_answer and attempt.streaming:
+            self.answer("aborted")
+        assert self.state
+        self.state.ended(seq, outcome, world.now - attempt.sent_at, bool(self.final_answer), detail, {})
         world.decide()
 
-    def leave(self) -> None:
-        if not self.final:
-            self.close("left")
-            assert self.handle
-            self.handle.client_left()
+    def client_leaves(self) -> None:
+        if not self.final_answer:
+            self.answer("left")
+            assert self.state
+            self.state.client_left()
             self.world.decide()
 
 
 class World:
+    """Simulated engines and clients around one Router, on a clock of its own; implements RouterActions."""
+
     def __init__(
         self,
         seed: int,
@@ -132,18 +140,23 @@
         workloads: list[Workload],
         zones: int,
         engines: int,
-        each_second: float,
-        trouble: float,
+        requests_per_second: float,
+        failure_rate: float,
         **more: Any,
     ) -> None:
-        self.random, self.now, self.trouble = Random(seed), (0.0, 100.0, 1e6)[seed % 3], trouble
-        self.kinds, self.workloads, self.zones, self.each_second = kinds, workloads, zones, each_second
-        self.order, self.events = count(), list[tuple[float, int, Any]]()
+        self.random, self.now, self.failure_rate = Random(seed), (0.0, 100.0, 1e6)[seed % 3], failure_rate
+        self.kinds, self.workloads, self.zones, self.requests_per_second = (
+            kinds,
+            workloads,
+            zones,
+            requests_per_second,
+        )
+        self.event_count, self.events = count(), list[tuple[float, int, Any]]()
         self.engines: dict[int, tuple[Role, Health, tuple[int, int]]] = {}
-        self.began: dict[int, float] = {}
-        self.sends: list[tuple[float, int]] = []
-        self.answered: list[float] = []
-        self.all: list[Asked] = []
+        self.started_at: dict[int, float] = {}
+        self.attempts_sent: list[tuple[float, int]] = []
+        self.answer_times: list[float] = []
+        self.requests: list[SimulatedRequest] = []
         self.try_limit, self.pin_limit, self.longest_retry = more["try_limit"], more["pin_limit"], 2.0
         self.warm_after, self.cold_window = more["warm_after"], more["cold_window"]
         self.cold_from, self.cold_multiple = more["cold_from"], more["cold_multiple"]
@@ -158,15 +171,18 @@
             zone=0,
             **more,
         )
-        self.count = count(1)
-        self.change(
-            [(next(self.count), self.random.randrange(len(kinds)), Health.ON, 0.0) for _ in range(engines)]
+        self.next_number = count(1)
+        self.apply_endpoint_changes(
+            [
+                (next(self.next_number), self.random.randrange(len(kinds)), Health.ON, 0.0)
+                for _ in range(engines)
+            ]
         )
 
     # heathford.interface.RouterActions
 
     def wake(self, after: float) -> None:
-        self.after(after, self.decide)
+        self.call_after(after, self.decide)
 
     def subscribe(self) -> None:
         pass
@@ -174,78 +190,87 @@
     def trace(self, text: str) -> None:
         pass
 
-    # Time.
+    # Time passes.
 
-    def after(self, seconds: float, call: Any) -> None:
-        heappush(self.events, (self.now + seconds, next(self.order), call))
+    def call_after(self, seconds: float, call: Any) -> None:
+        heappush(self.events, (self.now + seconds, next(self.event_count), call))
 
     def decide(self) -> None:
         self.router.decide()
-        for asked in self.all:
-            if asked.held_since is not None and not asked.final:
-                assert self.now - asked.held_since <= self.pin_limit + 1e-6, "a state is pinned"
+        for request in self.requests:
+            if request.held_since is not None and not request.final_answer:
+                assert self.now - request.held_since <= self.pin_limit + 1e-6, "a state stays pinned"
 
     def run(self) -> None:
-        for _ in range(int(DAY * self.each_second)):
-            self.after(self.random.uniform(0.0, DAY), self.ask)
-        for _ in range(int(self.trouble * DAY)):
-            self.after(self.random.uniform(0.0, DAY), self.replace)
+        for _ in range(int(DURATION * self.requests_per_second)):
+            self.call_after(self.random.uniform(0.0, DURATION), self.send_request)
+        for _ in range(int(self.failure_rate * DURATION)):
+            self.call_after(self.random.uniform(0.0, DURATION), self.replace_engine)
         while self.events:
             self.now, _, call = heappop(self.events)
             call()
-        for asked in self.all:
-            assert asked.final and all(d.verdict for d in asked.dispatches) and asked.held_since is None
+        for request in self.requests:
+            assert (
+                request.final_answer
+                and all(attempt.outcome for attempt in request.attempts)
+                and request.held_since is None
+            )
         assert not self.router.waiting and not any(e.in_flight for e in self.router.engines.values())
-        self.check_cold()
-
-    def check_cold(self) -> None:
-        """The rule allows a cold engine its part of what a warm one bears; here none is known to bear more
-        than all answers of a window."""
-        most = max(
-            (sum(at - self.cold_window <= a <= at for a in self.answered) for at in self.answered), default=0
+        self.check_cold_budgets()
+
+    def check_cold_budgets(self) -> None:
+        """Check the rule for cold engines, which get a share of the attempts that a warm one can serve: here
+        taken to be all answers of a window."""
+        max_answers = max(
+            (sum(at - self.cold_window <= a <= at for a in self.answer_times) for at in self.answer_times),
+            default=0,
         )
-        allowed = self.cold_from * self.cold_multiple * most
-        for number, began in self.began.items():
-            sent = [at for at, engine in self.sends if engine == number and at < began + self.warm_after]
+        allowed = self.cold_from * self.cold_multiple * max_answers
+        for number, began in self.started_at.items():
+            sent = [
+                at for at, engine in self.attempts_sent if engine == number and at < began + self.warm_after
+            ]
             for at in sent:
                 held = sum(at <= other < at + self.cold_window for other in sent)
                 assert held <= allowed + 3 * sqrt(allowed) + 3
 
-    # What happens.
+    # Requests and changes of the endpoint list.
 
-    def change(self, rows: list[tuple[int, int, Health, float]]) -> None:
+    def apply_endpoint_changes(self, entries: list[tuple[int, int, Health, float]]) -> None:
         self.router.begin_list_update(False)
-        for number, kind, health, started in rows:
-            place = number % self.zones, number % (2 * self.zones)
-            self.engines[number] = self.kinds[kind].role, health, place
+        for number, kind, health, started in entries:
+            zone_and_cell = number % self.zones, number % (2 * self.zones)
+            self.engines[number] = self.kinds[kind].role, health, zone_and_cell
             if started:
-                self.began[number] = started
-            self.router.update_engine(number, place[0], kind, place[1], health, 1.0, started)
+                self.started_at[number] = started
+            self.router.update_engine(number, zone_and_cell[0], kind, zone_and_cell[1], health, 1.0, started)
         self.router.end_list_update()
 
-    def replace(self) -> None:
-        """One drains or goes; another comes, cold."""
+    def replace_engine(self) -> None:
+        """Drain or remove an engine and add another, which is cold."""
         on = [n for n, (_, health, _) in self.engines.items() if health is Health.ON]
-        rows = [(next(self.count), self.random.randrange(len(self.kinds)), Health.ON, self.now + 1e-6)]
+        entries = [
+            (next(self.next_number), self.random.randrange(len(self.kinds)), Health.ON, self.now + 1e-6)
+        ]
         if on:
             old = self.random.choice(on)
             kind = next(k for k, known in enumerate(self.kinds) if known.role is self.engines[old][0])
             health = self.random.choice((Health.DRAINING, Health.REMOVED))
-            rows.append((old, kind, health, self.began.get(old, 0.0)))
-        self.change(rows)
+            entries.append((old, kind, health, self.started_at.get(old, 0.0)))
+        self.apply_endpoint_changes(entries)
         self.decide()
 
-    def ask(self) -> None:
-        place = self.random.randrange(len(self.workloads))
-        workload = self.workloads[place]
+    def send_request(self) -> None:
+        index = self.random.randrange(len(self.workloads))
+        workload = self.workloads[index]
         timeout = max(workload.latency_target * self.random.choice((0.3, 2.0, 8.0)), 0.01)
-        asked = Asked(self, workload, self.now + timeout)
-        self.all.append(asked)
+        request = SimulatedRequest(self, workload, self.now + timeout)
+        self.requests.append(request)
         prompt = self.random.choice((0, 1, 700, 6000, 60_000))
         shared = self.random.choice(("", "a", "b"))
-        asked.handle = self.router.accept(
-            asked,
-            place,
+        request.state = self.router.accept(
+            request,
+            index,
             0,
             str(self.random.randrange(9)),
             shared,
@@ -253,30 +278,30 @@
             prompt // 2 if shared else 0,
             self.random.choice((0, 1, 370)),
             self.random.choice((0.0, 1.5)),
-            asked.due,
+            request.deadline,
         )
         if self.random.random() < 0.1:
-            self.after(self.random.uniform(0.0, timeout), asked.leave)
+            self.call_after(self.random.uniform(0.0, timeout), request.client_leaves)
         self.decide()
 
-    def play_out(self, asked: Asked, seq: int, timeout: float) -> None:
-        """How a dispatch goes, drawn: well, badly, or not at all."""
-        dispatch, draw = asked.dispatches[seq], self.random.random()
-        takes = self.random.choice((0.001, 0.1, 0.5, 1.2)) * timeout
-        if draw < 0.2 * self.trouble or takes >= timeout:
+    def simulate_attempt(self, request: SimulatedRequest, seq: int, timeout: float) -> None:
+        """Draw how an attempt ends: well, badly, or only by its time-out."""
+        attempt, draw = request.attempts[seq], self.random.random()
+        latency = self.random.choice((0.001, 0.1, 0.5, 1.2)) * timeout
+        if draw < 0.2 * self.failure_rate or latency >= timeout:
             ends = timeout, Outcome.TIMED_OUT
-        elif draw < 0.5 * self.trouble:
-            ends = takes, self.random.choice(FAILURES)
-        elif dispatch.role is Role.PREFILL:
-            self.answered.append(self.now + takes)
-            ends = takes, Outcome.PREFILLED
+        elif draw < 0.5 * self.failure_rate:
+            ends = latency, self.random.choice(FAILURE_OUTCOMES)
+        elif attempt.role is Role.PREFILL:
+            self.answer_times.append(self.now + latency)
+            ends = latency, Outcome.PREFILLED
         else:
-            self.answered.append(self.now + takes)
-            self.after(takes, lambda: asked.first_token(seq))
-            whole = self.random.random() >= 0.1 * self.trouble
-            ends = takes + self.random.uniform(0.0, 2.0), Outcome.FINISHED if whole else Outcome.BROKEN
+            self.answer_times.append(self.now + latency)
+            self.call_after(latency, lambda: request.first_token(seq))
+            whole = self.random.random() >= 0.1 * self.failure_rate
+            ends = latency + self.random.uniform(0.0, 2.0), Outcome.FINISHED if whole else Outcome.BROKEN
         detail = int(ends[1] is Outcome.FULL and self.random.random() < 0.3)
-        self.after(ends[0], lambda: asked.end(seq, ends[1], detail))
+        self.call_after(ends[0], lambda: request.end(seq, ends[1], detail))
 
 
 def some_workload(name: int, target: float, effect: Effect, group: Group) -> Workload:
@@ -306,8 +331,8 @@
     ),
     zones=st.integers(1, 4),
     engines=st.integers(0, 24),
-    each_second=st.sampled_from([0.5, 3.0, 12.0]),
-    trouble=st.sampled_from([0.0, 0.5, 1.5]),
+    requests_per_second=st.sampled_from([0.5, 3.0, 12.0]),
+    failure_rate=st.sampled_from([0.0, 0.5, 1.5]),
     fronts=st.sampled_from([1, 3, 230, 1024]),
     try_limit=st.integers(1, 6),
     pin_limit=st.sampled_from([0.02, 0.3, 2.0]),
@@ -323,8 +348,8 @@
     World(number=fronts // 2, fronts=fronts, **world).run()
 
 
-def test_the_world_sees_a_broken_rule(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The checks above are able to fail: with a guard of the module taken out, some play breaks."""
+def test_a_broken_rule_is_noticed(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The checks above are able to fail: with a guard of the policy taken out, some run does."""
     monkeypatch.setattr(RequestState, "may_go_to", lambda self, engine, now: True)
     once = Workload(5.0, 0.0, 0.05, Effect.NON_IDEMPOTENT, Group.ALL, 2.0, 1.0)
     with pytest.raises(AssertionError, match="an effect may come twice"):
--- a/tests/test_slow_start_fleet.py
+++ b/tests/test_slow_start_fleet.py
@@ -1,37 +1,37 @@
-"""Slow start over the fleet: many policies, no messages between them, several engines cold at once."""
+"""Slow start over a fleet: many routers that exchange no messages, several engines cold at once."""
 
 from math import sqrt
 
 import pytest
 from policy_fleet import (
-    BEGIN,
+    START_TIME,
     BURST_SECONDS,
     CAPACITY,
     COLD_AT,
     COLD_FROM,
     ENGINES,
     LAYOUTS,
-    MULTIPLE,
+    COLD_MULTIPLE,
     WARM_AFTER,
     WINDOW,
-    Fleet,
+    SimulatedFleet,
 )
 
-LARGE = 60.0  # requests a second of a warm engine, where a budget of over 30 is wanted
-BUDGET = MULTIPLE * COLD_FROM * CAPACITY * WINDOW  # N at the coldest
-MOST = BUDGET + 2 * sqrt(BUDGET) + 2  # the rest is put down to chance
+LARGE_CAPACITY = 60.0  # requests per s of a warm engine, for a budget of more than 30
+COLD_BUDGET = COLD_MULTIPLE * COLD_FROM * CAPACITY * WINDOW  # attempts per window at the coldest
+MAX_ATTEMPTS = COLD_BUDGET + 2 * sqrt(COLD_BUDGET) + 2  # the excess allows for chance
 
 
-def stated(budget: float) -> float:
-    """What the users allow of a budget of N calls: the rest is put down to chance."""
+def allowed(budget: float) -> float:
+    """Return what the users allow for a budget of so many attempts: the excess allows for chance."""
     return budget + (3 * sqrt(budget) + 3 if budget < 30 else 2 * sqrt(budget) + 2)
 
 
-def most_in_a_span(times: list[float], span: float) -> int:
-    """The most of these in any span of that length."""
+def max_in_window(times: list[float], window: float) -> int:
+    """Return the largest number of these times in any window of that length."""
     most = first = 0
     for last, at in enumerate(times):
-        while times[first] <= at - span:
+        while times[first] <= at - window:
             first += 1
         most = max(most, last - first + 1)
     return most
@@ -40,40 +40,41 @@
 @pytest.mark.parametrize(
     "times, most", [([], 0), ([1.0], 1), ([0.0, 0.9, 1.8], 2), ([0.0, 0.5, 0.99, 1.1], 3)]
 )
-def test_any_span_counts(times: list[float], most: int) -> None:
-    assert most_in_a_span(times, 1.0) == most
+def test_windows_at_any_offset_count(times: list[float], most: int) -> None:
+    assert max_in_window(times, 1.0) == most
 
 
 @pytest.mark.parametrize("seed", [1, 2])
 @pytest.mark.parametrize("cold", [2, 5])
 @pytest.mark.parametrize("layout", LAYOUTS)
 @pytest.mark.parametrize("fronts", [1, 5, 30, 230])
-def test_all_sends_to_a_cold_engine_stay_within_its_budget(
+def test_attempts_at_a_cold_engine_stay_within_its_budget(
     fronts: int, layout: str, cold: int, seed: int
 ) -> None:
-    """Guards against texts that very many ask for, or what one cold engine does not take, leading to
-    another: before that was counted, some engines of 30 or 230 front nodes got twice their budget."""
-    fleet = Fleet(fronts, LAYOUTS[layout], cold, seed)
+    """Guards against a cold engine that exceeds its budget by popular prefixes, or by requests that another
+    cold engine has not admitted: where these are not counted, some engines get twice their budget from 30 or
+    230 front nodes."""
+    fleet = SimulatedFleet(fronts, LAYOUTS[layout], cold, seed)
     fleet.run()
     for engine in fleet.cold:
-        assert most_in_a_span(fleet.cold_sends(engine), WINDOW) <= MOST
+        assert max_in_window(fleet.cold_attempts(engine), WINDOW) <= MAX_ATTEMPTS
     if fronts > 1:
-        used = sum(len(fleet.cold_sends(engine)) for engine in fleet.cold) / len(fleet.cold)
-        assert used >= 0.15 * BUDGET * WARM_AFTER
+        used = sum(len(fleet.cold_attempts(engine)) for engine in fleet.cold) / len(fleet.cold)
+        assert used >= 0.15 * COLD_BUDGET * WARM_AFTER
 
 
 @pytest.mark.parametrize("restarted", [0.2, 1.0], ids=["some restarted", "all restarted"])
 @pytest.mark.parametrize("cold", [1, 4, ENGINES // 2], ids=["one", "some", "half"])
 @pytest.mark.parametrize("layout", LAYOUTS)
 @pytest.mark.parametrize("fronts", [1, 2, 5, 30, 230])
-@pytest.mark.parametrize("capacity", [CAPACITY, LARGE], ids=["under 30", "over 30"])
-def test_the_sum_over_all_front_nodes_stays_in_what_the_users_state(
+@pytest.mark.parametrize("capacity", [CAPACITY, LARGE_CAPACITY], ids=["under 30", "over 30"])
+def test_the_sum_over_all_front_nodes_stays_within_the_stated_limit(
     capacity: float, fronts: int, layout: str, cold: int, restarted: float
 ) -> None:
-    """One, some or half of all engines cold, a budget under 30 calls and one over it, front nodes just
-    restarted. Where the test above asks for less, it binds as well."""
-    short = COLD_AT - BEGIN + BURST_SECONDS + 1.0  # the coldest seconds
-    fleet = Fleet(fronts, LAYOUTS[layout], cold, 3, capacity, short, restarted)
+    """One, some or half of all engines cold, a budget under 30 attempts and one over it, front nodes just
+    restarted. The stricter limit of the test above applies as well."""
+    short = COLD_AT - START_TIME + BURST_SECONDS + 1.0  # s: while the engines are coldest
+    fleet = SimulatedFleet(fronts, LAYOUTS[layout], cold, 3, capacity, short, restarted)
     fleet.run()
-    most = max(most_in_a_span(fleet.cold_sends(engine), WINDOW) for engine in fleet.cold)
-    assert most <= stated(MULTIPLE * COLD_FROM * capacity * WINDOW)
+    most = max(max_in_window(fleet.cold_attempts(engine), WINDOW) for engine in fleet.cold)
+    assert most <= allowed(COLD_MULTIPLE * COLD_FROM * capacity * WINDOW)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -1,4 +1,4 @@
-"""Long sends: how they are followed, what they teach, and what the policy makes of it."""
+"""Long sends: how their progress is followed, the rates learned from them, and how the policy uses these."""
 
 import pytest
 from conftest import RouterHarness
@@ -18,17 +18,17 @@
 )
 
 SIZE = 250_000  # bytes
-READER, WRITER, COMBINED = (10, 0), (12, 1), (14, 2)
+PREFILL_ENTRY, DECODE_ENTRY, COMBINED_ENTRY = (10, 0), (12, 1), (14, 2)
 
 
-def sent(engine: int, rate: float, size: int = SIZE) -> Send:
-    """A send that has arrived, at that many bytes a second."""
+def arrived_send(engine: int, rate: float, size: int = SIZE) -> Send:
+    """Return a send that has arrived, at that many bytes per s."""
     return Send(engine, size, 0.0, 0.0, moved=size, spent=size / rate)
 
 
-def known(rate: float, now: float = 0.0, engine: int = 1) -> TransferRates:
+def rates_of(rate: float, now: float = 0.0, engine: int = 1) -> TransferRates:
     rates = TransferRates()
-    rates.observe(sent(engine, rate), now)
+    rates.observe(arrived_send(engine, rate), now)
     return rates
 
 
@@ -36,7 +36,7 @@
     "rate, state",
     [(0.0, SendState.STALLED), (ASSUMED_RATE / 4, SendState.BEHIND), (ASSUMED_RATE, SendState.PROGRESSING)],
 )
-def test_a_send_that_moves_is_given_up_only_where_its_deadline_would_be_wrong(
+def test_a_send_in_progress_is_given_up_only_where_the_deadline_told_would_be_wrong(
     rate: float, state: SendState
 ) -> None:
     send = TransferRates().start(1, SIZE, 4.0, 0.0)
@@ -44,17 +44,17 @@
         send.check_progress(step * PROGRESS_CHECK_INTERVAL, int(step * PROGRESS_CHECK_INTERVAL * rate))
         for step in range(1, 30)
     ]
-    ended = next((step for step, found in enumerate(states, 1) if found is not SendState.PROGRESSING), 0)
+    end_step = next((step for step, found in enumerate(states, 1) if found is not SendState.PROGRESSING), 0)
     if state is SendState.PROGRESSING:
-        assert ended * PROGRESS_CHECK_INTERVAL > SIZE / rate
+        assert end_step * PROGRESS_CHECK_INTERVAL > SIZE / rate
     else:
         after = STALLED_AFTER if state is SendState.STALLED else send.reserved_time + BEHIND_AFTER
-        assert states[ended - 1] is state
-        assert ended * PROGRESS_CHECK_INTERVAL == pytest.approx(after, abs=PROGRESS_CHECK_INTERVAL)
+        assert states[end_step - 1] is state
+        assert end_step * PROGRESS_CHECK_INTERVAL == pytest.approx(after, abs=PROGRESS_CHECK_INTERVAL)
 
 
-def test_a_hold_up_of_this_process_is_no_stall_and_teaches_no_rate() -> None:
-    """Guards against engines passed over for what this process did itself."""
+def test_a_stall_of_this_process_is_no_stalled_send_and_changes_no_rate() -> None:
+    """Guards against engines that are avoided because this process itself stalled."""
     send = TransferRates().start(1, SIZE, 4.0, 0.0)
     assert send.check_progress(0.15, 0) is SendState.PROGRESSING
     send.check_progress(0.17, SIZE)
@@ -65,29 +65,29 @@
 
 
 @pytest.mark.parametrize(
-    "size, left, promised", [(20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / ASSUMED_RATE), (SIZE, 0.2, 0.1)]
+    "size, left, reserved_time",
+    [(20_000, 4.0, 0.0), (SIZE, 4.0, 1.25 * SIZE / ASSUMED_RATE), (SIZE, 0.2, 0.1)],
 )
-def test_a_deadline_leaves_out_what_a_long_send_is_expected_to_take(
-    size: int, left: float, promised: float
+def test_the_deadline_told_is_reduced_by_the_expected_time_of_a_long_send(
+    size: int, left: float, reserved_time: float
 ) -> None:
-    assert TransferRates().start(1, size, left, 0.0).reserved_time == pytest.approx(promised)
+    assert TransferRates().start(1, size, left, 0.0).reserved_time == pytest.approx(reserved_time)
 
 
-def test_rates_fall_at_once_rise_by_halves_and_are_forgotten() -> None:
-    rates = known(2e6)
-    rates.observe(sent(1, 1e6), 1.0)
+def test_rates_fall_at_once_rise_by_halves_and_expire() -> None:
+    rates = rates_of(2e6)
+    rates.observe(arrived_send(1, 1e6), 1.0)
     assert rates.expected_time(1, SIZE, 1.0) == pytest.approx(0.25)
-    rates.observe(sent(1, 3e6), 2.0)
+    rates.observe(arrived_send(1, 3e6), 2.0)
     assert rates.expected_time(1, SIZE, 2.0) == pytest.approx(0.125)
-    rates.observe(
-        sent(1, 1e3, LONG_SEND - 1), 3.0
-    )  # buffers take a short one at once, or this process was late
+    # A short send is no measurement: buffers take it at once, or this process stalled.
+    rates.observe(arrived_send(1, 1e3, LONG_SEND - 1), 3.0)
     assert rates.expected_time(1, SIZE, 3.0) == pytest.approx(0.125)
     assert rates.expected_time(1, SIZE, 2.0 + RATE_MAX_AGE) is None and not rates.rates
 
 
-def test_a_short_send_that_falls_behind_teaches_its_rate() -> None:
-    """Guards against one that is given up at each try, as nothing is learned from it."""
+def test_a_short_send_that_falls_behind_sets_the_rate() -> None:
+    """Guards against a request that is given up at each attempt, as no rate is learned from it."""
     send = TransferRates().start(1, LONG_SEND // 2, 4.0, 0.0)
     rates = TransferRates()
     states = [
@@ -100,39 +100,41 @@
     assert rates.may_matter(100, 0.1) and not rates.may_matter(100, 0.1 + RATE_MAX_AGE)
 
 
-def test_engines_that_left_are_forgotten() -> None:
+def test_rates_of_removed_engines_are_dropped() -> None:
     rates = TransferRates()
     for engine in range(3 * CLEANUP_SIZE):
-        rates.observe(sent(engine, 2e6), float(engine))
+        rates.observe(arrived_send(engine, 2e6), float(engine))
     assert len(rates.rates) <= CLEANUP_SIZE
 
 
-@pytest.mark.parametrize("slow_engines, by, in_time", [(0, 0.0, True), (1, 0.0, True), (2, 9.0, False)])
-def test_an_unknown_engine_is_tried_until_two_were_slow(slow_engines: int, by: float, in_time: bool) -> None:
-    assert TransferRates().can_arrive_by(1, SIZE, 0.0, by, slow_engines) == in_time
+@pytest.mark.parametrize("slow_engine_count, by, in_time", [(0, 0.0, True), (1, 0.0, True), (2, 9.0, False)])
+def test_an_engine_without_a_rate_is_tried_until_two_were_slow(
+    slow_engine_count: int, by: float, in_time: bool
+) -> None:
+    assert TransferRates().can_arrive_by(1, SIZE, 0.0, by, slow_engine_count) == in_time
 
 
-def test_a_long_prompt_is_not_read_for_a_writer_that_it_can_not_reach_in_time() -> None:
-    """Guards against a state that is released before its prompt has come."""
-    rates = known(2e5, 100.0, WRITER[0])
+def test_no_prefill_for_a_decode_engine_that_a_long_prompt_can_not_reach_in_time() -> None:
+    """Guards against a state that is released before the prompt has reached the decode engine."""
+    rates = rates_of(2e5, 100.0, DECODE_ENTRY[0])
     b = RouterHarness(transfers=rates)
-    b.engines(READER, WRITER)
+    b.engines(PREFILL_ENTRY, DECODE_ENTRY)
     c = b.take(size=SIZE)
     assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
     assert b.retry_after == 0.0
     b.take(size=LONG_SEND // 2)
-    assert b.asked() == [("send", READER[0])]
+    assert b.asked() == [("send", PREFILL_ENTRY[0])]
     b.take(session="t", size=SIZE)
     b.asked()
-    rates.observe(sent(COMBINED[0], 2e5), b.now)
-    b.engines(COMBINED)
+    rates.observe(arrived_send(COMBINED_ENTRY[0], 2e5), b.now)
+    b.engines(COMBINED_ENTRY)
     b.take(session="u", size=SIZE)
-    assert b.asked() == [("send", COMBINED[0])]
+    assert b.asked() == [("send", COMBINED_ENTRY[0])]
 
 
-def test_two_slow_engines_of_a_role_end_it_and_one_does_not() -> None:
+def test_two_slow_engines_of_a_role_end_a_request_and_one_does_not() -> None:
     b = RouterHarness()
-    b.engines(READER, (11, 0), (15, 0), WRITER)
+    b.engines(PREFILL_ENTRY, (11, 0), (15, 0), DECODE_ENTRY)
     c = b.take(size=SIZE)
     b.end(c, Outcome.UNREACHABLE, detail=PART_ARRIVED)
     assert [asked[0] for asked in b.asked()] == ["send", "send"]
@@ -140,11 +142,11 @@
     assert b.asked() == [("rate_limit",)] and c.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
 
 
-def test_an_engine_that_was_slow_is_asked_again_with_what_was_learned() -> None:
-    """Guards against a healthy engine that is set aside for being slow."""
+def test_an_engine_that_was_slow_gets_a_further_attempt_at_the_learned_rate() -> None:
+    """Guards against a cooldown of a healthy engine whose connection is slow."""
     b = RouterHarness(transfers=(rates := TransferRates()))
-    b.engines(READER, WRITER)
+    b.engines(PREFILL_ENTRY, DECODE_ENTRY)
     c = b.take(size=SIZE)
-    rates.observe(sent(READER[0], 8e5), b.now)
+    rates.observe(arrived_send(PREFILL_ENTRY[0], 8e5), b.now)
     b.end(c, Outcome.UNSENT, detail=PART_ARRIVED)
-    assert b.asked() == [("send", READER[0])] * 2
+    assert b.asked() == [("send", PREFILL_ENTRY[0])] * 2
