--- a/benchmarks/adapter_play.py
+++ b/benchmarks/adapter_play.py
@@ -23,7 +23,7 @@
 FAILURE_SHARE = 0.12  # of the attempts
 
 
-def boot_info(random: Random, instances: int, number: int) -> dict[str, Any]:
+def boot_info(random: Random, front_count: int, number: int) -> dict[str, Any]:
     """Return the settings that a front node is started with."""
     categories = [
         {
@@ -41,7 +41,7 @@
         "categories": categories,
         "zone": number % 2,
         "myNumber": number,
-        "nInstances": instances,
+        "nInstances": front_count,
         "registryMode": "subscribe",
         "familyInfo": {
             "memoryTokens": [0, 150_000, 200_000, 90_000],
@@ -71,9 +71,9 @@
         self.adapter = WireAdapter()
         self.attempts: dict[tuple[int, str], int] = {}
         self.entries: dict[int, dict[str, Any]] = {}
-        self.instances = (1, 3, 30)[seed % 3]
-        for number in range(self.instances):
-            info = boot_info(Random(seed), self.instances, number)
+        self.front_count = (1, 3, 30)[seed % 3]
+        for number in range(self.front_count):
+            info = boot_info(Random(seed), self.front_count, number)
             self.send_at(1.0, {"configure": {"who": number, "rngSeed": seed + number, "bootInfo": info}})
         self.send_endpoint_list(1.0, [self.list_entry(engine) for engine in range(1, 25)], "restored")
         for n in range(600):
@@ -106,14 +106,14 @@
     def send_endpoint_list(self, when: float, entries: list[dict[str, Any]], scope: str) -> None:
         number = next(self.order)
         self.send_at(when, {"defineList": {"list": number, "rows": entries}})
-        for front_id in range(self.instances):
+        for front_id in range(self.front_count):
             self.send_at(when, {"fleet": {"who": front_id, "scope": scope, "list": number}})
 
     def request_event(self, n: int) -> dict[str, Any]:
         random = self.random
         return {
             "jobIn": {
-                "who": random.randrange(self.instances),
+                "who": random.randrange(self.front_count),
                 "id": f"j{n}",
                 "type": random.randrange(3),
                 "conversation": f"s{random.randrange(60)}",
@@ -193,7 +193,7 @@
     for seed in range(int(sys.argv[1]) if len(sys.argv) > 1 else 6):
         simulation = Simulation(seed)
         simulation.run()
-        print(seed, simulation.instances, simulation.actions, simulation.digest.hexdigest())
+        print(seed, simulation.front_count, simulation.actions, simulation.digest.hexdigest())
 
 
 if __name__ == "__main__":
--- a/heathford/drill/wire.py
+++ b/heathford/drill/wire.py
@@ -12,6 +12,7 @@
 from heathford.interface import RoutedRequest, Health, Outcome
 from heathford.policy import Router
 
+# The names on the wire.
 HEALTH_BY_NAME = {"on": Health.ON, "fading": Health.DRAINING, "off": Health.REMOVED}
 OUTCOME_BY_NAME = {
     "delivered": Outcome.FINISHED,
--- a/heathford/policy/estimators.py
+++ b/heathford/policy/estimators.py
@@ -6,9 +6,7 @@
 
 SPLIT_CANDIDATES = 512  # split points that are compared
 PREFILL_ENGINE_SHARE = 0.5  # share of the prompt: a balanced split from here on chooses the prefill engine
-INITIAL_SPLIT_TOKENS = (
-    2000  # uncached tokens above which a prefill engine is chosen until both fits are known
-)
+INITIAL_SPLIT_TOKENS = 2000  # uncached tokens above which a prefill engine is chosen without known fits
 MIN_ANSWERS = 20  # answers of each role before the fits are used
 ANSWER_DECAY = 0.98  # weight kept per answer: about fifty answers count, seconds of traffic
 HALF_LIFE = 5.0  # s in which a fit without answers, and counts of requests, lose half: ten requests or more
--- a/heathford/policy/request_state.py
+++ b/heathford/policy/request_state.py
@@ -31,9 +31,7 @@
 from heathford.policy.held_state import PendingReleases
 from heathford.policy.transfer import TransferRates
 
-IMMEDIATE_SHARE = (
-    0.05  # share of the latency target in which a full engine refuses; a rate limit takes longer
-)
+IMMEDIATE_SHARE = 0.05  # share of the latency target: a full engine refuses within it, a rate limit later
 MIN_PREFILL_TIMES = 2.0  # predicted prefill times that must be left before the target: for prefill and decode
 
 
--- a/tests/policy_fleet.py
+++ b/tests/policy_fleet.py
@@ -156,9 +156,9 @@
     def send_request(self) -> None:
         node = self.random.choice(self.nodes)
         request = SimulatedRequest(self, node)
-        popularity = [1 / (text + 1) for text in range(SHARED_PREFIXES)]
-        text = self.random.choices(range(SHARED_PREFIXES), popularity)[0]
-        shared = str(text) if self.random.random() < SHARED_SHARE else ""
+        popularity = [1 / (prefix + 1) for prefix in range(SHARED_PREFIXES)]
+        prefix = self.random.choices(range(SHARED_PREFIXES), popularity)[0]
+        shared = str(prefix) if self.random.random() < SHARED_SHARE else ""
         prompt = self.random.choice((300, 1500, 3000, 6000))
         session = str(self.random.random())
         request.state = node.router.accept(
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -387,9 +387,9 @@
     """Return as many recent keys for each engine of the role: a cold one is as popular as the others."""
     ring = router.rings[role][0]
     found: dict[Engine, str] = {}
-    for text in map(str, range(1000)):
-        if engine := ring.pick(f"1:{text}", lambda e: True):
-            found.setdefault(engine, text)
+    for key in map(str, range(1000)):
+        if engine := ring.pick(f"1:{key}", lambda e: True):
+            found.setdefault(engine, key)
     return 20 * list(found.values())
 
 
@@ -516,8 +516,8 @@
         prefill_engines.append(request.attempts[0].engine.number)
         if i != 3:
             harness.end(request, Outcome.PREFILLED)
-    first, *_, beside = prefill_engines
-    assert prefill_engines[:4] == [first] * 4 and beside != first
+    first, *_, others = prefill_engines
+    assert prefill_engines[:4] == [first] * 4 and others != first
 
 
 def test_a_restart_under_the_same_number_clears_the_cache(router_harness: New) -> None:
@@ -649,7 +649,7 @@
 
 
 @pytest.mark.parametrize(
-    "effect, group, gone, after, answer",
+    "effect, group, draining, after, answer",
     [
         (IDEMPOTENCY_KEYED, Group.CELL, False, 2.5, "abort"),
         (IDEMPOTENCY_KEYED, Group.ZONE, False, 2.5, "abort"),
@@ -662,7 +662,7 @@
     ],
 )
 def test_a_request_that_no_engine_may_take_any_more_is_answered_at_once(
-    router_harness: New, effect: Effect, group: Group, gone: bool, after: float, answer: str
+    router_harness: New, effect: Effect, group: Group, draining: bool, after: float, answer: str
 ) -> None:
     """Guards against a keyed request that waits for most of its deadline though its key has expired or its
     group has been removed."""
@@ -670,7 +670,7 @@
     harness.engines((10, 0), (112, 1), (212, 1))
     request = harness.take(deadline=harness.now + 60.0)
     harness.end(request, Outcome.PREFILLED)
-    if gone:
+    if draining:
         harness.engines((request.attempts[-1].engine.number, 1), health=Health.DRAINING)
     harness.asked()
     harness.end(request, Outcome.ERROR, after=after)
@@ -680,7 +680,7 @@
 
 
 @pytest.mark.parametrize(
-    "rest, gone, waited, answer",
+    "cooldown, draining, waited, answer",
     [
         (0.3, False, 0.5, "send"),
         (8.0, False, 1.55, ""),
@@ -689,17 +689,17 @@
     ],
 )
 def test_a_keyed_request_waits_no_longer_than_its_group_may_take_it(
-    router_harness: New, rest: float, gone: bool, waited: float, answer: str
+    router_harness: New, cooldown: float, draining: bool, waited: float, answer: str
 ) -> None:
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=Group.CELL)
     harness.engines((10, 0), (12, 1), (22, 1))
     request = harness.take(deadline=harness.now + 60.0)
     harness.end(request, Outcome.PREFILLED)
     harness.end(request, Outcome.ERROR)
-    harness.router.engines[10].cool_down(None, harness.now, harness.now, rest)
+    harness.router.engines[10].cool_down(None, harness.now, harness.now, cooldown)
     harness.end(request, Outcome.FULL, detail=1)  # the state is gone: it waits for the prefill engine
     harness.asked()
-    if gone:
+    if draining:
         harness.engines((12, 1), health=Health.DRAINING)
     harness.wait(waited)
     assert [asked[0] for asked in harness.asked()] == [answer] * bool(answer)
@@ -759,12 +759,12 @@
         assert answers == ["rate_limit" if group is Group.ALL else "abort"]
 
 
-@pytest.mark.parametrize("beside, then", [([], "rate_limit"), ([(14, 2)], "send")])
+@pytest.mark.parametrize("others, then", [([], "rate_limit"), ([(14, 2)], "send")])
 def test_one_attempt_left_without_a_combined_engine_is_answered_at_once(
-    router_harness: New, beside: list[tuple[int, int]], then: str
+    router_harness: New, others: list[tuple[int, int]], then: str
 ) -> None:
     harness = router_harness(try_limit=2)
-    harness.engines((10, 0), (12, 1), *beside)
+    harness.engines((10, 0), (12, 1), *others)
     request = harness.take()
     assert request.attempts[0].is_prefill
     harness.asked()
