--- a/heathford/policy/engine_state.py
+++ b/heathford/policy/engine_state.py
@@ -137,8 +137,8 @@
     def is_blocked(self, origin: object, now: float, min_latency_target: float) -> bool:
         """Return whether the engine must get nothing new of an origin now.
 
-        That is the case in a cooldown, or while an attempt of ours has been unanswered for long. Shortly
-        after a cooldown any unanswered attempt is enough.
+        That is the case in a cooldown, or while an attempt of ours has been unanswered for long. Until good
+        answers have reduced its cooldown to a negligible length any unanswered attempt is enough.
         """
         cooling = any(now < self.cooldowns[o][0] for o in (None, origin) if o in self.cooldowns)
         cooled_recently = (
--- a/heathford/policy/router.py
+++ b/heathford/policy/router.py
@@ -389,9 +389,9 @@
     def pick_by_hash(self, request: RequestState, role: Role, is_open: EngineFilter) -> Engine | None:
         """Return the better of two engines that the shared prefix, else the session, hashes to.
 
-        They are of the own zone, or of all zones if both of these are closed. Open engines alone are not what
-        is hashed to, as a session would then move under load and need a new prefill each time. With equal
-        load it is the first one at all front nodes, so that one engine keeps the prompt cached.
+        Both are of the own zone, or of all zones if both of these are closed. The hash covers closed engines
+        as well: a session hashed to open ones only would move under load and need a new prefill each time.
+        With equal load it is the first one at all front nodes, so that one engine keeps the prompt cached.
         """
         usable = partial(self.usable, request=request)
         for ring in self.rings[role]:
