--- a/heathford/platform/abandoned_prefill.py
+++ b/heathford/platform/abandoned_prefill.py
@@ -1,36 +1,52 @@
-"""When to say a release again for a prefill that was given up and may still end well; no I/O."""
+"""Decides when to repeat a release for a prefill attempt that was given up but may still finish; no I/O."""
 
 from dataclasses import dataclass
 
 from heathford.policy.held_state import release_time
 
-LATE_READ = (0.1, 0.5, 1.0)  # s after each release: its engine may end it well after one that it has answered
-MAX_FOLLOW_UP = 10.0  # s for which its engine may be cut off: twice the silences that deployments have met
+FURTHER_RELEASE_DELAYS = (0.1, 0.5, 1.0)  # s after each release: the prefill may finish after an answered one
+MAX_FOLLOW_UP = 10.0  # s: the engine may be cut off for twice the silences that deployments have seen
 
 
 @dataclass
 class AbandonedPrefill:
-    """since: s on the loop's clock when it was given up, or when the last attempt after it was sent.
+    """A prefill attempt that was given up, and the releases that have been confirmed for it.
 
-    said: releases confirmed since its engine first answered one, or since `since`. Any engine confirms a
-    release; only an answer of its own engine shows that this one has seen the close.
+    since: s on the loop's clock when it was given up, or when the last attempt after it was sent.
+
+    confirmed_releases: counted from the first one that its own engine answered, or else from `since`.
+    Any engine confirms a release; only an answer of the attempt's own engine shows that this engine has seen
+    the connection close.
     """
 
     since: float
-    said: int = 0
+    confirmed_releases: int = 0
     engine_answered: bool = False
 
     def release_confirmed(self, by_its_engine: bool) -> None:
-        """A release was confirmed; by_its_engine: that runs, or its process is gone."""
-        self.said += 1
+        """Record a confirmed release.
+
+        by_its_engine: the attempt's own engine answered, or its process is gone.
+        """
+        self.confirmed_releases += 1
         if by_its_engine and not self.engine_answered:
-            self.engine_answered, self.said = True, 1
+            self.engine_answered, self.confirmed_releases = True, 1
 
     def next_release_in(self, now: float, pin_limit: float) -> float | None:
-        """s until the next one, None when there is none. While its engine is silent a state may be left at
-        any time, so releases follow each other within the limit, less what one may take."""
+        """Return the s until the next release, or None when no further one is needed.
+
+        While its engine is silent, the prefill may leave state behind at any time. So releases follow each
+        other within `pin_limit` (s for which state may be held), less the time that one release may take.
+        """
         if self.engine_answered:
-            return LATE_READ[self.said - 1] if self.said <= len(LATE_READ) else None
+            return (
+                FURTHER_RELEASE_DELAYS[self.confirmed_releases - 1]
+                if self.confirmed_releases <= len(FURTHER_RELEASE_DELAYS)
+                else None
+            )
         if now - self.since >= MAX_FOLLOW_UP:
             return None
-        return min(LATE_READ[min(self.said, len(LATE_READ)) - 1], release_time(0.0, pin_limit))
+        return min(
+            FURTHER_RELEASE_DELAYS[min(self.confirmed_releases, len(FURTHER_RELEASE_DELAYS)) - 1],
+            release_time(0.0, pin_limit),
+        )
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -1,4 +1,4 @@
-"""One dispatch to an engine in the platform's protocol: sent, answered, given up."""
+"""One attempt at an engine in the platform's protocol, from its request to its outcome."""
 
 from collections.abc import Callable
 from typing import TYPE_CHECKING
@@ -15,13 +15,18 @@
 if TYPE_CHECKING:
     from heathford.platform.link import PlatformLink
 
-SILENCE = 4.0  # s without an event after which a stream is held for dead: clients may be kept waiting for 5
-PREFILL_ANSWER = 0.1  # s in which a prefill engine's answer comes whole once it has begun: some 100 bytes
-UNCLEAR = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.BROKEN})  # ends of a read that may go on
+STREAM_SILENCE_LIMIT = 4.0  # s without an event, after which a stream has failed: clients wait for 5 s
+PREFILL_ANSWER_TIMEOUT = 0.1  # s for the rest of a prefill engine's answer, which has some 100 bytes
+# outcomes after which a prefill attempt may still run at its engine
+UNCERTAIN_OUTCOMES = frozenset({Outcome.CANCELLED, Outcome.TIMED_OUT, Outcome.BROKEN})
 
 
 class EngineCall(Exchange):
-    """One dispatch. Ends once, with the first thing that ends it."""
+    """One attempt; it ends once, with the first outcome that is reported.
+
+    name: the id that the engine knows the request by; body: the request target and the bytes to post; mark:
+    the idempotency key, or empty; timeout: s from now.
+    """
 
     link: "PlatformLink"
 
@@ -38,61 +43,71 @@
         super().__init__(link, endpoint, timeout)
         self.name, self.body, self.mark, self.events = name, body, mark, events
         self.answer = Answer(endpoint.role is Role.PREFILL)
-        self.heard_at = 0.0  # when the last event came
-        self.begun = False  # events of a stream have come
-        self.answer_begun = False  # of a prefill engine
-        self.sending: Send | None = None  # while its last byte has not left
+        self.last_event_at = 0.0  # s on the loop's clock
+        self.stream_started = False  # at least one event was received
+        self.prefill_answer_started = False  # part of a prefill engine's answer was received
+        self.transfer: Send | None = None  # until the last byte is acknowledged
 
     def start(self) -> None:
+        """Connect and send the request, unless the attempt has ended or expired."""
         if self.over:
             return
-        left = self.until - self.loop.time()
-        if left <= 0.0:
+        time_left = self.expires_at - self.loop.time()
+        if time_left <= 0.0:
             self.end(Outcome.UNSENT)
             return
-        self.connect(self.encoded, min(left, self.link.connect_timeout))
+        self.connect(self.encode, min(time_left, self.link.connect_timeout))
 
     def wait_for_release(self) -> None:
-        """Guards against an attempt that waits past its time behind a release which nobody confirms."""
-        self.expect(max(0.0, self.until - self.loop.time()), self.withdraw)
+        """Withdraw the attempt when it expires while it waits for a release that no engine confirms."""
+        self.set_timer(max(0.0, self.expires_at - self.loop.time()), self.withdraw)
 
-    def begin(self, connection: EngineConnection, data: Callable[[], bytes]) -> None:
+    def send_request(self, connection: EngineConnection, encode: Callable[[], bytes]) -> None:
+        """Write the request, if the core still permits it, and follow its transfer."""
         if not self.events.may_send():
-            self.link.give_back(connection)
+            self.link.return_connection(connection)
             self.end(Outcome.UNSENT)
         else:
-            super().begin(connection, data)
-            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.look_at_send)
-
-    def look_at_send(self) -> None:
-        """Guards against a deadline, told by the head of a long request, that is out of date when the rest
-        has come, and against a cut in its middle. While its last byte is still here it has not run."""
-        connection, sending = self.connection, self.sending
-        if self.over or not connection or not sending:
+            super().send_request(connection, encode)
+            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.check_transfer)
+
+    def check_transfer(self) -> None:
+        """Check the progress of the transfer, and end the attempt if it is too slow or has stalled.
+
+        The head of a long request states its deadline, which is out of date if the rest arrives too late; and
+        the connection may break in the middle. As long as the last byte is in this process, the request has
+        not run.
+        """
+        connection, transfer = self.connection, self.transfer
+        if self.over or not connection or not transfer:
             return
-        now, left = self.loop.time(), connection.not_confirmed()
-        state = sending.check_progress(now, sending.size - left)
-        if not left:
-            self.sending = None
-            self.link.transfers.observe(sending, now)
+        now, undelivered = self.loop.time(), connection.undelivered_bytes()
+        state = transfer.check_progress(now, transfer.size - undelivered)
+        if not undelivered:
+            self.transfer = None
+            self.link.transfers.observe(transfer, now)
         elif state is SendState.BEHIND and connection.has_unwritten:
-            self.give_up_slow_send(sending)
+            self.give_up_slow_transfer(transfer)
         elif state is not SendState.STALLED:
-            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.look_at_send)
+            self.loop.call_later(PROGRESS_CHECK_INTERVAL, self.check_transfer)
         elif connection.has_unwritten:
-            self.end(Outcome.UNREACHABLE, PART_ARRIVED if sending.moved > 0 else 0)
+            self.end(Outcome.UNREACHABLE, PART_ARRIVED if transfer.moved > 0 else 0)
+
+    def give_up_slow_transfer(self, transfer: Send) -> None:
+        """End the attempt as UNSENT; its rate is recorded for the next one.
 
-    def give_up_slow_send(self, sending: Send) -> None:
-        """Its engine may be asked again, with a deadline that leaves out the time which it takes."""
-        self.link.transfers.observe(sending, self.loop.time())
+        The same engine may be tried again, with a deadline that leaves out the time of the transfer.
+        """
+        self.link.transfers.observe(transfer, self.loop.time())
         self.end(Outcome.UNSENT, PART_ARRIVED)
 
-    def encoded(self) -> bytes:
-        (target, body), self.body = self.body, ("", b"")  # written once: not kept while the answer streams
+    def encode(self) -> bytes:
+        """Return the request as bytes, and start to time its transfer; called once."""
+        (target, body), self.body = self.body, ("", b"")  # frees the prompt while the answer streams
         now = self.loop.time()
-        self.sending = self.link.transfers.start(self.endpoint.number, len(body), self.until - now, now)
-        told = max(1, int(1000 * (self.until - now - self.sending.reserved_time)))
-        headers = {"X-Call-Id": self.name, "X-Budget-Ms": str(told)}
+        self.transfer = self.link.transfers.start(self.endpoint.number, len(body), self.expires_at - now, now)
+        budget_ms = max(1, int(1000 * (self.expires_at - now - self.transfer.reserved_time)))
+        headers = {"X-Call-Id": self.name, "X-Budget-Ms": str(budget_ms)}
         if self.mark:
             headers["Idempotency-Key"] = self.mark
         return encode_request("POST", target, self.endpoint.address, headers, body)
@@ -101,22 +116,31 @@
         self.end(Outcome.CANCELLED)
 
     def withdraw(self) -> None:
-        """Also where part of a long request has left: an engine starts on what is whole."""
+        """End the attempt as UNSENT if its last byte has not left this process.
+
+        Part of a long request may have left: an engine starts only on a complete request.
+        """
         if self.connection is None or self.connection.has_unwritten:
             self.end(Outcome.UNSENT)
 
     def is_progressing(self) -> bool:
-        """A slow send is no cut: its attempt may yet arrive within the limit of what is held."""
-        return self.connection is not None and self.sending is not None and not self.sending.stalled
+        """Return whether the transfer is under way and has not stalled.
+
+        A slow transfer is not a broken connection: the request may still arrive while its state may be held.
+        """
+        return self.connection is not None and self.transfer is not None and not self.transfer.stalled
 
     def give_up_unless_arrived(self) -> Arrival:
-        """Guards against what prefill holds for a request that never gets to its decode engine. Once the
-        kernel has the last byte it may have run for all we know: the kernel sends on until the socket is
-        closed, whatever it held when it was asked."""
-        if self.over or self.begun:
+        """End the attempt unless it is known to have arrived, and return how far it has come.
+
+        Otherwise prefill state stays held for a request that never reaches its decode engine. Once the kernel
+        has the last byte, the request may have run: the kernel sends on until the socket is closed, whatever
+        it held when it was queried.
+        """
+        if self.over or self.stream_started:
             return Arrival.ANSWERED
-        if self.is_progressing() and self.connection and self.connection.has_unwritten and self.sending:
-            self.give_up_slow_send(self.sending)
+        if self.is_progressing() and self.connection and self.connection.has_unwritten and self.transfer:
+            self.give_up_slow_transfer(self.transfer)
             return Arrival.UNSENT
         if self.connection is None or self.connection.has_unwritten:
             self.end(Outcome.UNREACHABLE)
@@ -126,69 +150,76 @@
             return Arrival.UNCONFIRMED
         return Arrival.CONFIRMED
 
-    def end(self, verdict: Outcome, detail: int = 0, keep: bool = False) -> None:
+    def end(self, outcome: Outcome, detail: int = 0, keep_alive: bool = False) -> None:
+        """End the attempt with that outcome, unless it has ended."""
         if self.over:
             return
         sent = self.connection is not None
-        self.stop(keep)
-        self.link.outcomes[verdict] += 1
-        if (sent or verdict is Outcome.BROKEN) and verdict in UNCLEAR and self.endpoint.role is Role.PREFILL:
+        self.finish(keep_alive)
+        self.link.outcomes[outcome] += 1
+        if (
+            (sent or outcome is Outcome.BROKEN)
+            and outcome in UNCERTAIN_OUTCOMES
+            and self.endpoint.role is Role.PREFILL
+        ):
             self.link.abandoned_prefills[self.name] = AbandonedPrefill(self.loop.time())
-        self.events.ended(verdict, detail, {}, {"kv": {}})
+        self.events.ended(outcome, detail, {}, {"kv": {}})
 
-    def timed_out(self) -> None:
+    def on_timeout(self) -> None:
         self.end(Outcome.TIMED_OUT)
 
-    def unreached(self) -> None:
-        """Nothing of it was sent."""
+    def on_connect_failure(self) -> None:
         self.end(Outcome.UNREACHABLE)
 
-    def crowded(self) -> None:
-        """All our connections are in use: nothing was sent, and for us this engine is full."""
+    def on_no_free_connection(self) -> None:
+        """End the attempt: nothing was sent, and for this process the engine is full."""
         self.end(Outcome.NO_FREE_CONNECTION)
 
-    def lost(self, unwritten: bool) -> None:
+    def on_connection_lost(self, has_unwritten: bool) -> None:
         self.connection = None
-        self.end(Outcome.UNREACHABLE if unwritten else Outcome.BROKEN)
+        self.end(Outcome.UNREACHABLE if has_unwritten else Outcome.BROKEN)
 
-    def closed_by_engine(self) -> None:
+    def on_eof(self) -> None:
         self.answer.response.feed_eof()
         if self.answer.response.done:
-            self.heard(b"")
+            self.on_data(b"")
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             events = self.answer.feed(data)
             done = self.answer.response.done
-            verdict, detail = self.answer.outcome() if done else (Outcome.ERROR, 0)
-        except MalformedMessageError as problem:
-            self.link.nonsense(self.endpoint, problem)
+            outcome, detail = self.answer.outcome() if done else (Outcome.ERROR, 0)
+        except MalformedMessageError as error:
+            self.link.report_malformed_answer(self.endpoint, error)
             self.end(Outcome.ERROR)
             return
         if events:
-            self.heard_at = self.loop.time()
-            if not self.begun:
-                self.begun = True
+            self.last_event_at = self.loop.time()
+            if not self.stream_started:
+                self.stream_started = True
                 self.events.first_token()
-                self.expect(SILENCE, self.look_for_silence)
+                self.set_timer(STREAM_SILENCE_LIMIT, self.check_stream_silence)
             self.events.tokens(events)
         if done:
-            self.end(verdict, detail, keep=self.answer.keep)
-        elif self.endpoint.role is Role.PREFILL and not self.answer_begun:
-            self.begin_prefill_answer()
-
-    def begin_prefill_answer(self) -> None:
-        """Guards against a state that its engine holds while the rest of its answer never comes. Costs a
-        second read where the rest would have come later."""
-        self.answer_begun = True
+            self.end(outcome, detail, keep_alive=self.answer.keep)
+        elif self.endpoint.role is Role.PREFILL and not self.prefill_answer_started:
+            self.on_prefill_answer_start()
+
+    def on_prefill_answer_start(self) -> None:
+        """Notify that part of the answer was received, and bound the wait for the rest.
+
+        The engine may hold the state from now on, and the rest of its answer may never arrive. The cost is a
+        second prefill attempt where the rest would have arrived later.
+        """
+        self.prefill_answer_started = True
         self.events.answer_begun()
-        left = self.until - self.loop.time()
-        self.expect(max(0.0, min(PREFILL_ANSWER, left)), self.timed_out)
+        time_left = self.expires_at - self.loop.time()
+        self.set_timer(max(0.0, min(PREFILL_ANSWER_TIMEOUT, time_left)), self.on_timeout)
 
-    def look_for_silence(self) -> None:
-        """One timer that looks again, not one an event."""
-        left = self.heard_at + SILENCE - self.loop.time()
-        if left <= 0.0:
+    def check_stream_silence(self) -> None:
+        """End the attempt after a long silence, else check again: one timer per stream, not one per event."""
+        time_left = self.last_event_at + STREAM_SILENCE_LIMIT - self.loop.time()
+        if time_left <= 0.0:
             self.end(Outcome.TIMED_OUT)
         else:
-            self.expect(left, self.look_for_silence)
+            self.set_timer(time_left, self.check_stream_silence)
--- a/heathford/platform/exchange.py
+++ b/heathford/platform/exchange.py
@@ -1,7 +1,8 @@
-"""Connections to engines in the platform's protocol, and one request on its way over one of them.
+"""Connections to engines in the platform's protocol, and HTTP exchanges over them.
 
-On asyncio's transports, the layer beneath Tornado's streams: a stream tells neither of bytes that nobody
-asked for on an idle connection nor whether a request's last byte was written. Costs: docs/design/platform.md.
+Built on asyncio's transports, the layer beneath Tornado's streams: a stream reports neither unexpected bytes
+on an idle connection nor whether the last byte of a request was written. The costs of this are stated in
+docs/design/platform.md.
 """
 
 import asyncio
@@ -17,10 +18,10 @@
 from heathford.engines.pools import ConnectionPool, ConnectionPools
 from heathford.wire.socket_state import read_socket_state, unacknowledged_bytes
 
-UNSENT_IN_KERNEL = 16_384  # bytes that the kernel may hold unsent: some segments, so that it need not wait
-RESET_AT_CLOSE = struct.pack("ii", 1, 0)  # for SO_LINGER: what the kernel still holds is dropped
+MAX_KERNEL_UNSENT = 16_384  # bytes: some segments, so that the kernel never waits for more to send
+LINGER_RESET = struct.pack("ii", 1, 0)  # for SO_LINGER: close drops what the kernel still holds
 
-OWN_TROUBLE = frozenset(
+LOCAL_ERRNOS = frozenset(
     {
         errno.EADDRNOTAVAIL,
         errno.EMFILE,
@@ -31,12 +32,12 @@
         errno.EINTR,
         errno.ENETDOWN,
     }
-)  # failures of this machine: they say nothing of the engine
-CONNECT_AGAIN = 0.02  # s until a connect that failed by trouble of our own is tried again
+)  # failures of this machine, which say nothing about the engine
+CONNECT_RETRY_DELAY = 0.02  # s until the next try after one of LOCAL_ERRNOS
 
 
 class ExchangeLink(Protocol):
-    """What exchanges share: a loop, kept connections, and tasks."""
+    """What the exchanges of one link share: event loop, connection pools and tasks."""
 
     loop: asyncio.AbstractEventLoop
     connect_timeout: float
@@ -45,29 +46,32 @@
     @property
     def pools(self) -> "ConnectionPools[EngineConnection]": ...
 
-    def give_back(self, connection: "EngineConnection") -> None: ...
+    def return_connection(self, connection: "EngineConnection") -> None: ...
 
 
 class EngineConnection(asyncio.Protocol):
-    """One connection to an engine, used by one exchange at a time or idle."""
+    """One connection to an engine, idle or used by one exchange at a time."""
 
     def __init__(self, link: ExchangeLink, pool: ConnectionPool["EngineConnection"]) -> None:
         self.link, self.pool = link, pool
         self.transport: asyncio.Transport | None = None
-        self.user: Exchange | None = None
-        self.has_unwritten = False  # part of what was sent has not left yet
-        self.counted = True
+        self.exchange: Exchange | None = None
+        self.has_unwritten = False  # some bytes of the request are still in user space
+        self.in_pool = True  # the pool counts it
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         assert isinstance(transport, asyncio.Transport)
         self.transport = transport
-        # Guards against long requests that lie in the kernel, where they may leave at any time: what is still
-        # in user space when a connection is given up is known never to have left. Costs turns of the loop.
+        # Keeps long requests out of the kernel's send queue, from which they may leave at any time: bytes
+        # still in user space when a connection is given up are known never to have left. The cost is further
+        # iterations of the event loop.
         with suppress(OSError):
             transport.get_extra_info("socket").setsockopt(
-                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, UNSENT_IN_KERNEL
+                socket.IPPROTO_TCP, socket.TCP_NOTSENT_LOWAT, MAX_KERNEL_UNSENT
             )
-        transport.set_write_buffer_limits(high=0)  # so that pause and resume tell of unwritten bytes
+        transport.set_write_buffer_limits(
+            high=0
+        )  # pause_writing and resume_writing report any unwritten byte
 
     def pause_writing(self) -> None:
         self.has_unwritten = True
@@ -78,169 +82,195 @@
     def write(self, data: bytes) -> None:
         assert self.transport
         self.transport.write(data)
-        if self.transport.is_closing():  # it broke while it was written
+        if self.transport.is_closing():  # the connection broke during the write
             self.has_unwritten = True
 
     def data_received(self, data: bytes) -> None:
         self.pool.last_received_at = self.link.loop.time()
-        if self.user:
-            self.user.heard(data)
+        if self.exchange:
+            self.exchange.on_data(data)
         else:
-            # Guards against an answer to nothing: the next dispatch would take it for its own.
+            # The next exchange would take these unrequested bytes for its own response.
             self.close()
 
     def eof_received(self) -> None:
-        if self.user:
-            self.user.closed_by_engine()
-
-    def connection_lost(self, problem: Exception | None) -> None:
-        self.uncount()
-        if self.user:
-            user, self.user = self.user, None
-            user.lost(self.has_unwritten)
-
-    def uncount(self) -> None:
-        if self.counted:
-            self.counted = False
+        if self.exchange:
+            self.exchange.on_eof()
+
+    def connection_lost(self, error: Exception | None) -> None:
+        self.leave_pool()
+        if self.exchange:
+            exchange, self.exchange = self.exchange, None
+            exchange.on_connection_lost(self.has_unwritten)
+
+    def leave_pool(self) -> None:
+        """Stop counting this connection in its pool; further calls have no effect."""
+        if self.in_pool:
+            self.in_pool = False
             self.link.pools.remove(self.pool, self)
 
-    def not_confirmed(self) -> int:
-        """Bytes written that the far machine has not confirmed: those in user space, and the kernel's."""
-        held = self.transport.get_write_buffer_size() if self.transport else 0
-        return held + unacknowledged_bytes(self.transport)
+    def undelivered_bytes(self) -> int:
+        """Return the bytes that the peer has not acknowledged, in user space and in the kernel."""
+        in_user_space = self.transport.get_write_buffer_size() if self.transport else 0
+        return in_user_space + unacknowledged_bytes(self.transport)
 
     def closed(self) -> bool:
         return self.transport is None or self.transport.is_closing()
 
-    def quiet(self) -> bool:
-        """Nothing has come on it, an end included. Guards against what the loop has not come to yet: a
-        request written behind an end may have run for all we know."""
+    def nothing_unread(self) -> bool:
+        """Return whether the kernel holds nothing to be read, neither bytes nor an end of stream.
+
+        The event loop may not have read these yet, and whether a request written after the engine's end of
+        stream has run is not known.
+        """
         return not read_socket_state(self.transport).unread
 
     def close(self) -> None:
-        """At once, with what is unwritten. Shut down first: a transport closes its socket in the loop's next
-        turn, and an answer to the client that left before that would cross a dispatch that is still out."""
-        self.user = None
-        self.uncount()
+        """Close the connection at once and drop unwritten bytes.
+
+        The socket is shut down first: a transport closes it only in the event loop's next iteration, and a
+        response to the client that is sent before that would overlap an attempt that is still in flight.
+        """
+        self.exchange = None
+        self.leave_pool()
         if self.transport:
             sock = self.transport.get_extra_info("socket")
-            with suppress(OSError):  # it has broken, or is closed
+            with suppress(OSError):  # the connection is broken or closed
                 if unacknowledged_bytes(self.transport):
-                    # Guards against a request that the kernel delivers after we have given it up, as the peer
-                    # reads on or a cut heals. Harms nothing: no answer to it is wanted any more. Proves
-                    # nothing: the kernel sends on until the loop's next turn closes the socket.
-                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_AT_CLOSE)
+                    # Keeps the kernel from delivering a request after it was given up, when the peer reads on
+                    # or a broken link recovers. Does no harm, as its response is not wanted any more. Proves
+                    # nothing: the kernel sends on until the loop's next iteration closes the socket.
+                    sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
                 else:
                     sock.shutdown(socket.SHUT_RDWR)
             self.transport.abort()
 
 
 class Exchange:
-    """One request on its way: connect, send, answer; `over` once nothing more is wanted of it."""
+    """One HTTP request and its response: connect, send, receive.
+
+    timeout: s from now. `over` is set once neither a response nor a failure is of interest any more.
+    """
 
-    def __init__(self, link: ExchangeLink, endpoint: Endpoint, within: float) -> None:
+    def __init__(self, link: ExchangeLink, endpoint: Endpoint, timeout: float) -> None:
         self.link, self.endpoint = link, endpoint
         self.loop = link.loop
-        self.until = self.loop.time() + within
+        self.expires_at = self.loop.time() + timeout
         self.connection: EngineConnection | None = None
         self.timer: asyncio.TimerHandle | None = None
         self.over = False
-        self.refused = False  # nobody listens there
+        self.connection_refused = False  # nothing listens at the address
 
-    def connect(self, data: Callable[[], bytes], within: float, urgent: bool = False) -> None:
-        """An idle connection, or a new one within that many s. urgent: one of those kept back for that."""
+    def connect(self, encode: Callable[[], bytes], timeout: float, use_reserved: bool = False) -> None:
+        """Send the encoded request over an idle connection, or over a new one that opens within `timeout` s.
+
+        use_reserved: the new connection may be one of those reserved for releases.
+        """
         pools = self.link.pools
         pool = pools.pool(self.endpoint.address, self.endpoint.port)
-        kept = pools.take_idle(pool, self.loop.time())
-        while kept and not kept.quiet():
-            kept.close()
-            kept = pools.take_idle(pool, self.loop.time())
-        if kept:
-            self.begin(kept, data)
-        elif pools.reserve(pool, urgent):
-            self.expect(within, self.unreached)
-            self.link.tasks.spawn(self.open(pool, data))
+        idle = pools.take_idle(pool, self.loop.time())
+        while idle and not idle.nothing_unread():
+            idle.close()
+            idle = pools.take_idle(pool, self.loop.time())
+        if idle:
+            self.send_request(idle, encode)
+        elif pools.reserve(pool, use_reserved):
+            self.set_timer(timeout, self.on_connect_failure)
+            self.link.tasks.spawn(self.open_connection(pool, encode))
         else:
-            self.crowded()
+            self.on_no_free_connection()
 
-    async def open(self, pool: ConnectionPool[EngineConnection], data: Callable[[], bytes]) -> None:
+    async def open_connection(
+        self, pool: ConnectionPool[EngineConnection], encode: Callable[[], bytes]
+    ) -> None:
+        """Open a new connection and send the request over it."""
         connection = EngineConnection(self.link, pool)
         try:
-            await asyncio.wait_for(self.connected(connection), self.link.connect_timeout)
-        except (OSError, TimeoutError) as problem:
+            await asyncio.wait_for(self.establish(connection), self.link.connect_timeout)
+        except (OSError, TimeoutError) as error:
             connection.close()
-            self.refused = isinstance(problem, ConnectionRefusedError)
+            self.connection_refused = isinstance(error, ConnectionRefusedError)
             if not self.over:
-                self.unreached()
+                self.on_connect_failure()
             return
         except BaseException:
             connection.close()
             raise
         if self.over:
-            self.link.give_back(connection)
+            self.link.return_connection(connection)
         elif connection.closed():
-            connection.uncount()
-            self.unreached()
+            connection.leave_pool()
+            self.on_connect_failure()
         else:
-            self.begin(connection, data)
+            self.send_request(connection, encode)
 
-    async def connected(self, connection: EngineConnection) -> None:
-        """Connect, again where this machine had no room for a moment. Raises OSError.
+    async def establish(self, connection: EngineConnection) -> None:
+        """Connect, and retry on failures that are this machine's own. Raises OSError.
 
-        Guards against a moment's trouble of our own for which all engines would be set aside, at all front
-        nodes of this machine. Could harm by a wait for the connect time-out where the trouble lasts."""
+        Without the retry, a short local shortage would put all engines into cooldown, at all front nodes of
+        this machine. Where the shortage lasts, the cost is a wait for the connect time-out.
+        """
         while True:
             try:
                 await self.loop.create_connection(
                     lambda: connection, self.endpoint.address, self.endpoint.port
                 )
                 return
-            except OSError as problem:
-                if problem.errno not in OWN_TROUBLE or self.over:
+            except OSError as error:
+                if error.errno not in LOCAL_ERRNOS or self.over:
                     raise
-            await asyncio.sleep(CONNECT_AGAIN)
+            await asyncio.sleep(CONNECT_RETRY_DELAY)
 
-    def begin(self, connection: EngineConnection, data: Callable[[], bytes]) -> None:
-        self.connection, connection.user = connection, self
-        self.expect(max(0.0, self.until - self.loop.time()), self.timed_out)
-        connection.write(data())
+    def send_request(self, connection: EngineConnection, encode: Callable[[], bytes]) -> None:
+        """Write the encoded request to the connection, and wait for its response until it expires."""
+        self.connection, connection.exchange = connection, self
+        self.set_timer(max(0.0, self.expires_at - self.loop.time()), self.on_timeout)
+        connection.write(encode())
 
-    def expect(self, seconds: float, then: Callable[[], None]) -> None:
+    def set_timer(self, delay: float, callback: Callable[[], None]) -> None:
+        """Call back in `delay` s; replaces the timer that was set before."""
         if self.timer:
             self.timer.cancel()
-        self.timer = self.loop.call_later(seconds, then)
+        self.timer = self.loop.call_later(delay, callback)
+
+    def finish(self, keep_alive: bool) -> None:
+        """End the exchange, and return its connection to the pool or close it.
 
-    def stop(self, keep: bool) -> None:
-        """Nothing more is wanted. A connection with anything still to come or go is closed, not used again:
-        the rest of a request that was answered early would leave behind its verdict, and might run."""
+        A connection with bytes left to read or write is closed: the rest of a request that was answered early
+        would leave after its outcome is known, and the request might run.
+        """
         self.over = True
         if self.timer:
             self.timer.cancel()
             self.timer = None
         connection, self.connection = self.connection, None
         if connection:
-            connection.user = None
-            if keep and not connection.has_unwritten:
-                self.link.give_back(connection)
+            connection.exchange = None
+            if keep_alive and not connection.has_unwritten:
+                self.link.return_connection(connection)
             else:
                 connection.close()
 
-    def timed_out(self) -> None:
-        """Sent, and not answered by `until`."""
+    def on_timeout(self) -> None:
+        """Handle that the request was sent, and not answered before the exchange expired."""
         raise NotImplementedError
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
+        """Handle bytes of the response."""
         raise NotImplementedError
 
-    def lost(self, unwritten: bool) -> None:
+    def on_connection_lost(self, has_unwritten: bool) -> None:
+        """Handle that the connection broke; has_unwritten: part of the request had not left this process."""
         raise NotImplementedError
 
-    def closed_by_engine(self) -> None:
-        """The engine has ended its side in order, which may be how it ends its answer."""
+    def on_eof(self) -> None:
+        """Handle that the engine has closed its side in order, which may end its response."""
         raise NotImplementedError
 
-    def unreached(self) -> None:
+    def on_connect_failure(self) -> None:
+        """Handle that no connection came up in time; nothing was sent."""
         raise NotImplementedError
 
-    def crowded(self) -> None:
+    def on_no_free_connection(self) -> None:
+        """Handle that all connections of this process are in use; nothing was sent."""
         raise NotImplementedError
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -1,4 +1,4 @@
-"""Carries dispatches to engines in the platform's protocol, over kept connections."""
+"""The link to engines in the platform's protocol: attempts and releases over pooled connections."""
 
 import asyncio
 from collections import Counter
@@ -15,59 +15,63 @@
 from heathford.platform.engine_call import EngineCall
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.silent_engines import SilentEngines
-from heathford.platform.state_release import REFUSED, ReleaseCall, StateRelease
+from heathford.platform.state_release import CONNECTION_REFUSED, ReleaseCall, StateRelease
 from heathford.platform.abandoned_prefill import AbandonedPrefill
 from heathford.policy.transfer import TransferRates
 from heathford.wire.http1 import MalformedMessageError
 
-IDLE_PART = 0.6  # of the time after which engines close idle connections: one written into then is lost
-RELEASE_PART = 0.05  # of all connections, kept back for releases: without one a state stays held
-FEW_CONNECTIONS = 8  # up to which none is kept back
-REUSE_DELAY = (
-    0.05  # s after an answer before a connection is used again: some engines close it then, or answer
-)
-# once more some milliseconds late, which would be taken for what the next request gets
-FAILED_AGAIN = 0.5  # s after a release that nobody confirmed until it is said again; then twice as long
-FAILED_AGAIN_MOST = 4.0  # s of these: in all they outlast a cut of several seconds
+IDLE_TIME_FRACTION = 0.6  # of the engines' idle time-out: a request written as the engine closes is lost
+RELEASE_FRACTION = 0.05  # of all connections, reserved for releases: without a connection a state stays held
+SMALL_POOL = 8  # connections, up to which none is reserved
+# s after a response until its connection is used again: some engines close it then, or send the response once
+# more some milliseconds later, which would be taken for the response to the next request
+REUSE_DELAY = 0.05
+RELEASE_RETRY_DELAY = 0.5  # s from an unconfirmed release to its first retry; each further one takes twice
+MAX_RELEASE_RETRY_DELAY = 4.0  # s: all retries together outlast a network outage of several seconds
 
 log = structlog.get_logger()
 
 
-def kept_back(connections: int) -> int:
-    """How many of all connections only releases may use: one at least, where there are more than a few."""
-    if connections <= FEW_CONNECTIONS:
+def reserved_connections(max_connections: int) -> int:
+    """Return how many connections only releases may use: at least one, unless there are few in all."""
+    if max_connections <= SMALL_POOL:
         return 0
-    return max(1, int(connections * RELEASE_PART))
+    return max(1, int(max_connections * RELEASE_FRACTION))
 
 
 class PlatformLink:
-    """connect_timeout, pin_limit, idle (after which engines close) in s; connections: at most, in all.
-    listed: engines that are on, those of the own zone and the others."""
+    """Sends attempts and releases to engines, and retries releases.
 
-    may_read_late = True  # a close is no recall: a process reads what its machine has taken before it
+    connect_timeout, pin_limit (for which a state may be held) and engine_idle_timeout (after which engines
+    close idle connections) in s; max_connections: to all engines together; listed_engines: returns the
+    listed engines that may be used, those of the own zone and the others.
+    """
+
+    may_read_late = True  # closing recalls nothing: an engine still reads what its machine received before
 
     def __init__(
         self,
         connect_timeout: float,
         pin_limit: float,
-        idle: float,
-        connections: int,
-        listed: Callable[[], tuple[Sequence[Endpoint], Sequence[Endpoint]]],
+        engine_idle_timeout: float,
+        max_connections: int,
+        listed_engines: Callable[[], tuple[Sequence[Endpoint], Sequence[Endpoint]]],
     ) -> None:
-        self.listed = listed
+        self.listed_engines = listed_engines
         self.loop = asyncio.get_running_loop()
         self.connect_timeout, self.pin_limit = connect_timeout, pin_limit
         self.pools: ConnectionPools[EngineConnection] = ConnectionPools(
-            IDLE_PART * idle, connections, REUSE_DELAY, kept_back(connections)
+            IDLE_TIME_FRACTION * engine_idle_timeout,
+            max_connections,
+            REUSE_DELAY,
+            reserved_connections(max_connections),
         )
         self.silent_engines = SilentEngines(lambda address: self.pools.pool(*address).last_received_at)
         self.tasks = Tasks("link")
-        self.releases: dict[str, StateRelease] = {}  # by completion
+        self.releases: dict[str, StateRelease] = {}  # by request
         self.abandoned_prefills: dict[str, AbandonedPrefill] = {}  # by request
         self.transfers = TransferRates()
-        self.retry_timers: dict[
-            str, asyncio.TimerHandle
-        ] = {}  # requests whose release is to be said once more
+        self.retry_timers: dict[str, asyncio.TimerHandle] = {}  # of releases, by request
         self.outcomes: Counter[Outcome] = Counter()
         self.malformed_answers = self.failed_releases = 0
         self.stopped = False
@@ -86,99 +90,116 @@
         if name in self.retry_timers:
             self.retry_timers.pop(name).cancel()
         if name in self.abandoned_prefills:
-            # The core has them said once this attempt is through.
+            # The core releases what both may leave once this attempt has ended.
             self.abandoned_prefills[name] = AbandonedPrefill(self.loop.time())
         if name in self.releases:
-            # Guards against a DELETE that comes after the dispatch it was sent before: it names the
-            # completion, and would take the state from that one. Costs the wait for its answer.
-            self.releases[name].waiting.append(call)
+            # A DELETE names the request. If it arrived after this attempt, which is sent later, it would
+            # release the attempt's state. The cost is the wait for its answer.
+            self.releases[name].waiting_calls.append(call)
             call.wait_for_release()
         else:
             self.loop.call_soon(call.start)
         return call
 
     def release(
-        self, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float = FAILED_AGAIN
+        self,
+        endpoint: Endpoint,
+        name: str,
+        events: ReleaseEvents,
+        retry_delay: float = RELEASE_RETRY_DELAY,
     ) -> None:
-        """again_after: s after which it is said once more where no engine confirms it."""
+        """Release the state held for a request, or join the release that is in progress.
+
+        retry_delay: s until a retry where no engine confirms the release.
+        """
         if name in self.releases:
             self.releases[name].listeners.append(events)
         else:
             self.releases[name] = StateRelease(self, endpoint, name, events)
-            self.tasks.spawn(self.run_release(endpoint, name, events, again_after))
+            self.tasks.spawn(self.run_release(endpoint, name, events, retry_delay))
 
     async def run_release(
-        self, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float
+        self, endpoint: Endpoint, name: str, events: ReleaseEvents, retry_delay: float
     ) -> None:
+        """Run the release, schedule its retry, and start the calls that wait for its end."""
         release = self.releases[name]
         try:
             confirmed = await release.run()
             if not confirmed:
                 self.failed_releases += 1
-                release.told_failed()
+                release.report_failure()
             if confirmed and name in self.abandoned_prefills:
                 self.abandoned_prefills[name].release_confirmed(release.holder_answered)
-            if not release.waiting:
-                self.say_again_if_due(confirmed, endpoint, name, events, again_after)
+            if not release.waiting_calls:
+                self.schedule_retry_if_needed(confirmed, endpoint, name, events, retry_delay)
         finally:
             del self.releases[name]
-            for call in release.waiting:
+            for call in release.waiting_calls:
                 call.start()
 
-    def say_again_if_due(
-        self, confirmed: bool, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float
+    def schedule_retry_if_needed(
+        self, confirmed: bool, endpoint: Endpoint, name: str, events: ReleaseEvents, retry_delay: float
     ) -> None:
-        """A release that nobody confirmed, and a confirmed one of a prefill that may still run on."""
-        if not confirmed and again_after <= FAILED_AGAIN_MOST:
-            self.say_again(again_after, endpoint, name, events, 2 * again_after)
+        """Retry a release that no engine confirmed, or whose prefill attempt may still be running."""
+        if not confirmed and retry_delay <= MAX_RELEASE_RETRY_DELAY:
+            self.schedule_retry(retry_delay, endpoint, name, events, 2 * retry_delay)
             return
-        unclear = self.abandoned_prefills.get(name)
-        late = unclear.next_release_in(self.loop.time(), self.pin_limit) if confirmed and unclear else None
-        if late is None:
+        prefill = self.abandoned_prefills.get(name)
+        delay = prefill.next_release_in(self.loop.time(), self.pin_limit) if confirmed and prefill else None
+        if delay is None:
             self.abandoned_prefills.pop(name, None)
         else:
-            self.say_again(late, endpoint, name, events, FAILED_AGAIN_MOST)
+            self.schedule_retry(delay, endpoint, name, events, MAX_RELEASE_RETRY_DELAY)
 
-    def say_again(
-        self, after: float, endpoint: Endpoint, name: str, events: ReleaseEvents, then_after: float
+    def schedule_retry(
+        self, delay: float, endpoint: Endpoint, name: str, events: ReleaseEvents, next_retry_delay: float
     ) -> None:
+        """Retry the release in `delay` s; next_retry_delay: s until the retry after that one."""
         if name in self.retry_timers:
             self.retry_timers[name].cancel()
         self.retry_timers[name] = self.loop.call_later(
-            after, self.release_again, endpoint, name, events, then_after
+            delay, self.retry_release, endpoint, name, events, next_retry_delay
         )
 
     def last_received_at(self, endpoint: Endpoint) -> float:
-        """When anything came from that engine last, while a connection to it has stood."""
+        """Return when anything was last received from that engine, while any connection to it was open."""
         return self.pools.pool(endpoint.address, endpoint.port).last_received_at
 
     def check_liveness(
-        self, endpoint: Endpoint, name: str, within: float, told: Callable[[bool], None]
+        self, endpoint: Endpoint, name: str, within: float, on_result: Callable[[bool], None]
     ) -> None:
-        """By a DELETE, which each engine accepts and answers whatever it holds."""
+        """Check liveness with a DELETE request, which every engine answers, whatever it holds."""
         call = ReleaseCall(self, endpoint, name, within)
-        call.status.add_done_callback(lambda status: told(status.result() not in (NO_ANSWER, REFUSED)))
+        call.status.add_done_callback(
+            lambda status: on_result(status.result() not in (NO_ANSWER, CONNECTION_REFUSED))
+        )
+
+    def retry_release(self, endpoint: Endpoint, name: str, events: ReleaseEvents, retry_delay: float) -> None:
+        """Release once more, so that no state is left behind.
 
-    def release_again(self, endpoint: Endpoint, name: str, events: ReleaseEvents, again_after: float) -> None:
-        """Guards against a release that is read, on another connection, before the prefill that was given up
-        ends well, and against one that nobody confirmed: what is left would stay. Not where another attempt
-        has begun: it names the request, and would take what that leaves. Costs a few calls for each prefill
-        given up."""
+        An engine may read a release, on another connection, before it finishes the prefill attempt that was
+        given up; and a release may stay unconfirmed. `send` cancels the retry when it starts another attempt,
+        as the release names the request and would take that attempt's state. The cost is a few calls for each
+        prefill attempt that was given up.
+        """
         del self.retry_timers[name]
-        self.release(endpoint, name, events, again_after)
+        self.release(endpoint, name, events, retry_delay)
 
-    def give_back(self, connection: EngineConnection) -> None:
+    def return_connection(self, connection: EngineConnection) -> None:
+        """Put a connection back into its pool, or close it if it is closing or the link has stopped."""
         if connection.closed() or self.stopped:
             connection.close()
         else:
             self.pools.add_idle(connection.pool, connection, self.loop.time())
 
-    def nonsense(self, endpoint: Endpoint, problem: MalformedMessageError) -> None:
+    def report_malformed_answer(self, endpoint: Endpoint, error: MalformedMessageError) -> None:
+        """Count an engine's answer that breaks the protocol, and log the first ones."""
         self.malformed_answers += 1
-        if self.malformed_answers <= 20:  # the first tell what it looks like; the count goes on
-            log.warning("nonsense from an engine", engine=endpoint.name, what=str(problem))
+        if self.malformed_answers <= 20:  # enough to see what is wrong; all are counted
+            log.warning("malformed answer from an engine", engine=endpoint.name, what=str(error))
 
     def stop(self) -> None:
+        """Cancel retries and close idle connections; those in use close when their exchange ends."""
         self.stopped = True
         for timer in self.retry_timers.values():
             timer.cancel()
--- a/heathford/platform/silent_engines.py
+++ b/heathford/platform/silent_engines.py
@@ -1,4 +1,4 @@
-"""Which engines have left a release unanswered lately, for all releases of a process; no I/O."""
+"""Tracks which engines have left releases unanswered lately, for all releases of a process; no I/O."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -6,51 +6,55 @@
 from heathford.engines.pools import Address
 from heathford.platform.release_schedule import MAX_ROUND_INTERVAL
 
-SILENT_AFTER = MAX_ROUND_INTERVAL  # s without an answer after which others are asked in its place
-REMEMBERED = 1.0  # s from the last release until one is sent again to see whether the engine answers
-TIDIED_AT = 512  # engines remembered from which those are forgotten whose time is over
+SILENT_AFTER = MAX_ROUND_INTERVAL  # s without an answer after which other engines are asked instead
+PROBE_INTERVAL = 1.0  # s after the last release to a silent engine until another one tests it again
+CLEANUP_THRESHOLD = 512  # entries from which on expired ones are removed
 
 
 @dataclass
-class Unanswered:
-    """Releases that an engine has left unanswered: when the first and the last of them were sent, in s."""
+class UnansweredReleases:
+    """When the first and the last of an engine's unanswered releases were sent, in s on the loop's clock."""
 
     first_at: float
     last_at: float
 
 
 class SilentEngines:
-    """Guards against releases that each find out alone which engines are silent: where many states are held,
-    they would ask all engines for each of them, and keep slow ones from catching up. A silent engine is asked
-    by one release every now and then, whose answer counts for all.
+    """Shares among all releases of a process which engines do not answer.
 
-    heard_at: when anything came from an address last, in s on the loop's clock, else -inf.
+    If each release found this out alone, many held states would cause releases to all engines for each of
+    them, which keeps slow engines from catching up. Instead one release now and then tests a silent engine,
+    and its answer counts for all.
+
+    last_received_at: returns when anything was last received from an address, in s on the loop's clock, or
+    -inf.
     """
 
-    def __init__(self, heard_at: Callable[[Address], float]) -> None:
-        self.heard_at = heard_at
-        self.unanswered: dict[Address, Unanswered] = {}
+    def __init__(self, last_received_at: Callable[[Address], float]) -> None:
+        self.last_received_at = last_received_at
+        self.unanswered: dict[Address, UnansweredReleases] = {}
 
     def __len__(self) -> int:
+        """Return the number of engines with unanswered releases."""
         return len(self.unanswered)
 
-    def was_asked(self, address: Address, now: float) -> None:
-        """A release is on its way."""
-        if len(self.unanswered) >= TIDIED_AT:
-            self.unanswered = {a: u for a, u in self.unanswered.items() if now - u.last_at < REMEMBERED}
-        known = self.unanswered.get(address)
-        if known is None or self.heard_at(address) >= known.first_at:
-            self.unanswered[address] = Unanswered(now, now)
+    def record_request(self, address: Address, now: float) -> None:
+        """Record that a release is being sent to that address."""
+        if len(self.unanswered) >= CLEANUP_THRESHOLD:
+            self.unanswered = {a: u for a, u in self.unanswered.items() if now - u.last_at < PROBE_INTERVAL}
+        releases = self.unanswered.get(address)
+        if releases is None or self.last_received_at(address) >= releases.first_at:
+            self.unanswered[address] = UnansweredReleases(now, now)
         else:
-            known.last_at = now
+            releases.last_at = now
 
-    def has_answered(self, address: Address) -> None:
-        """It was, whatever it said; or nothing was sent after all."""
+    def record_answer(self, address: Address) -> None:
+        """Record that the engine answered, with whatever status, or that nothing was sent to it after all."""
         self.unanswered.pop(address, None)
 
     def is_silent(self, address: Address, now: float) -> bool:
-        """Whether another engine is the better one to ask."""
-        known = self.unanswered.get(address)
-        if known is None or self.heard_at(address) >= known.first_at:
+        """Return whether another engine should be asked instead."""
+        releases = self.unanswered.get(address)
+        if releases is None or self.last_received_at(address) >= releases.first_at:
             return False
-        return now - known.first_at >= SILENT_AFTER and now - known.last_at < REMEMBERED
+        return now - releases.first_at >= SILENT_AFTER and now - releases.last_at < PROBE_INTERVAL
--- a/heathford/platform/state_release.py
+++ b/heathford/platform/state_release.py
@@ -1,4 +1,4 @@
-"""Releases what is held for a request: ever more engines are asked until one confirms it."""
+"""Releases the state held for a request: asks more and more engines until one confirms the release."""
 
 import asyncio
 from collections.abc import Callable
@@ -11,58 +11,68 @@
 from heathford.engines.release_retries import NO_ANSWER, RELEASED_STATUSES
 from heathford.platform.answers import LONGEST_LINE
 from heathford.platform.exchange import Exchange
-from heathford.platform.release_schedule import HOLDER_AT_ONCE, LEAST_ASKED, ReleaseSchedule, next_to_ask
+from heathford.platform.release_schedule import (
+    MAX_CALLS_TO_HOLDER,
+    MIN_ENGINES_ASKED,
+    ReleaseSchedule,
+    next_to_ask,
+)
 from heathford.wire.http1 import MalformedMessageError, Response, encode_request
 
 if TYPE_CHECKING:
     from heathford.platform.link import PlatformLink
 
-ROOMS = "/bootstrap/rooms/"
-NO_CONNECTION = -1  # in place of a status, where all of this process's own connections are in use
-REFUSED = -2  # the same, where nobody listens: its process is gone, by the protocol page
+ROOMS_PATH = "/bootstrap/rooms/"
+NO_CONNECTION = -1  # in place of a status: all connections of this process are in use
+CONNECTION_REFUSED = -2  # in place of a status: by the protocol page, the engine's process is gone
 
 log = structlog.get_logger()
 
 
 def release_request(endpoint: Endpoint, name: str) -> bytes:
-    """Which every engine answers, whatever it holds."""
-    return encode_request("DELETE", ROOMS + name, endpoint.address, {}, b"")
+    """Return the request that releases a state; every engine answers it, whatever it holds."""
+    return encode_request("DELETE", ROOMS_PATH + name, endpoint.address, {}, b"")
 
 
 class Startable(Protocol):
-    """What waits until a release is through."""
+    """A call that waits for a release of its request to end."""
 
     def start(self) -> None: ...
 
 
 class ReleaseCall(Exchange):
-    """One DELETE to one engine; `status` once it has ended."""
+    """One DELETE request to one engine.
+
+    status: resolves when the call ends, to the HTTP status or to NO_ANSWER, NO_CONNECTION or
+    CONNECTION_REFUSED.
+    """
 
     link: "PlatformLink"
 
-    def __init__(self, link: "PlatformLink", endpoint: Endpoint, name: str, patience: float) -> None:
-        super().__init__(link, endpoint, patience)
+    def __init__(self, link: "PlatformLink", endpoint: Endpoint, name: str, timeout: float) -> None:
+        super().__init__(link, endpoint, timeout)
         self.response = Response(LONGEST_LINE, LONGEST_LINE, strict=False)
         self.status: asyncio.Future[int] = self.loop.create_future()
-        link.silent_engines.was_asked((endpoint.address, endpoint.port), self.loop.time())
-        self.connect(lambda: release_request(endpoint, name), patience, urgent=True)
+        link.silent_engines.record_request((endpoint.address, endpoint.port), self.loop.time())
+        self.connect(lambda: release_request(endpoint, name), timeout, use_reserved=True)
 
     @property
-    def engine(self) -> str:
-        """By its name, else its address."""
+    def engine_label(self) -> str:
+        """The engine's name, or its address where the name is not known."""
         return self.endpoint.name or f"{self.endpoint.address}:{self.endpoint.port}"
 
-    def end(self, status: int, keep: bool = False) -> None:
+    def end(self, status: int, keep_alive: bool = False) -> None:
+        """End the call with that status, unless it has ended."""
         if not self.over:
-            self.stop(keep)
-            if status not in (NO_ANSWER, REFUSED):
-                self.link.silent_engines.has_answered((self.endpoint.address, self.endpoint.port))
+            self.finish(keep_alive)
+            if status not in (NO_ANSWER, CONNECTION_REFUSED):
+                self.link.silent_engines.record_answer((self.endpoint.address, self.endpoint.port))
             self.status.set_result(status)
 
-    def timed_out(self) -> None:
+    def on_timeout(self) -> None:
         self.end(NO_ANSWER)
 
-    def heard(self, data: bytes) -> None:
+    def on_data(self, data: bytes) -> None:
         try:
             for _ in self.response.feed(data):
                 pass
@@ -72,45 +82,52 @@
         if self.response.done:
             self.end(self.response.status, self.response.keep_alive)
 
-    def lost(self, unwritten: bool) -> None:
+    def on_connection_lost(self, has_unwritten: bool) -> None:
         self.connection = None
         self.end(NO_ANSWER)
 
-    def closed_by_engine(self) -> None:
+    def on_eof(self) -> None:
         self.response.feed_eof()
         if self.response.done:
             self.end(self.response.status)
 
-    def unreached(self) -> None:
-        self.end(REFUSED if self.refused else NO_ANSWER)
+    def on_connect_failure(self) -> None:
+        self.end(CONNECTION_REFUSED if self.connection_refused else NO_ANSWER)
 
-    def crowded(self) -> None:
+    def on_no_free_connection(self) -> None:
         self.end(NO_CONNECTION)
 
 
 class StateRelease:
-    """The release of all that is held for one request. waiting: started once it is over."""
+    """The release of all state held for one request.
+
+    waiting_calls: calls of the same request, started once the release has ended.
+    """
 
     def __init__(self, link: "PlatformLink", holder: Endpoint, name: str, events: ReleaseEvents) -> None:
         self.link, self.holder, self.name = link, holder, name
         self.asked: list[Endpoint] = []
         self.listeners = [events]
-        self.waiting: list[Startable] = []
-        self.calls: dict[asyncio.Future[int], ReleaseCall] = {}  # not answered yet
+        self.waiting_calls: list[Startable] = []
+        self.calls: dict[asyncio.Future[int], ReleaseCall] = {}  # without an answer so far
         self.holder_answered = False  # or its process is gone
 
-    def tell(self, say: Callable[[ReleaseEvents], None]) -> None:
+    def notify(self, notification: Callable[[ReleaseEvents], None]) -> None:
+        """Pass a notification on to all listeners."""
         for events in self.listeners:
-            say(events)
+            notification(events)
 
     async def run(self) -> bool:
-        """Whether an engine has confirmed it. The holder is asked first; one that can't be reached would keep
-        the state for good, so after that any other: each accepts it."""
+        """Ask engines until the limit, and return whether one has confirmed the release.
+
+        The holder is asked first. As an unreachable holder would keep the state for good, other engines are
+        asked after it: each of them accepts the release.
+        """
         loop = self.link.loop
         schedule = ReleaseSchedule(loop.time(), self.link.pin_limit)
         try:
             while True:
-                wait = schedule.next_in(loop.time())
+                wait = schedule.next_round_in(loop.time())
                 if wait == 0.0:
                     self.ask_batch(schedule)
                 elif not self.calls:
@@ -124,71 +141,78 @@
                 call.end(NO_ANSWER)
 
     def ask_batch(self, schedule: ReleaseSchedule) -> None:
-        """One engine at first; later as many others as are due, each once, and the first again after all."""
-        for _ in range(schedule.batch):
+        """Ask as many engines as the schedule says, each once; where none is left, the first one again."""
+        for _ in range(schedule.batch_size):
             endpoint = self.next_endpoint()
             if endpoint is None:
-                schedule.nobody_is_left(self.link.loop.time())
+                schedule.no_engine_available(self.link.loop.time())
                 return
-            again = endpoint in self.asked
+            asked_before = endpoint in self.asked
             self.asked.append(endpoint)
             self.ask(endpoint, schedule)
-            if again:
+            if asked_before:
                 return
 
     def next_endpoint(self) -> Endpoint | None:
-        """The holder first, then those that were heard last; silent ones only where there is nobody else."""
+        """Return the holder first, then other engines; silent ones only where there are no others."""
         if not self.asked and not self.is_silent((self.holder.address, self.holder.port)):
             return self.holder
-        found = self.other_endpoint(self.is_silent)
-        if found and found not in self.asked:
-            return found
+        candidate = self.other_endpoint(self.is_silent)
+        if candidate and candidate not in self.asked:
+            return candidate
         if not self.asked:
             return self.holder
-        if len(self.asked) < LEAST_ASKED:
-            found = self.other_endpoint(lambda address: False)
-        out = sum(call.endpoint is found for call in self.calls.values())
-        return found if out < HOLDER_AT_ONCE else None
+        if len(self.asked) < MIN_ENGINES_ASKED:
+            candidate = self.other_endpoint(lambda address: False)
+        in_flight = sum(call.endpoint is candidate for call in self.calls.values())
+        return candidate if in_flight < MAX_CALLS_TO_HOLDER else None
 
     def other_endpoint(self, is_silent: Callable[[Address], bool]) -> Endpoint | None:
-        near, far = self.link.listed()
-        kept = self.link.pools.addresses_by_last_received()
-        return next_to_ask(self.name, self.asked, kept, near, far, is_silent)
+        """Return the next engine beside the holder, as `next_to_ask` chooses it."""
+        same_zone, other_zones = self.link.listed_engines()
+        connected = self.link.pools.addresses_by_last_received()
+        return next_to_ask(self.name, self.asked, connected, same_zone, other_zones, is_silent)
 
     def is_silent(self, address: Address) -> bool:
+        """Return whether that engine has left releases unanswered lately."""
         return self.link.silent_engines.is_silent(address, self.link.loop.time())
 
     def ask(self, endpoint: Endpoint, schedule: ReleaseSchedule) -> None:
+        """Send the release to one engine."""
         now = self.link.loop.time()
-        schedule.was_asked(now)
-        call = ReleaseCall(self.link, endpoint, self.name, max(0.0, schedule.over_at - now))
+        schedule.record_request(now)
+        call = ReleaseCall(self.link, endpoint, self.name, max(0.0, schedule.ends_at - now))
         self.calls[call.status] = call
-        self.tell(lambda events: events.requested(call.engine))
+        self.notify(lambda events: events.requested(call.engine_label))
 
     async def confirmed_within(self, wait: float | None, schedule: ReleaseSchedule) -> bool:
-        """Wait for answers for that long, or for the next one; whether one confirms the release."""
+        """Wait for the next answers, for `wait` s at most, and return whether one confirms the release."""
         done, _ = await asyncio.wait(self.calls, timeout=wait, return_when=asyncio.FIRST_COMPLETED)
         for status in [status for status in self.calls if status in done]:
             call = self.calls.pop(status)
-            if call.endpoint is self.holder and (status.result() > 0 or status.result() == REFUSED):
+            if call.endpoint is self.holder and (
+                status.result() > 0 or status.result() == CONNECTION_REFUSED
+            ):
                 self.holder_answered = True
             if status.result() in RELEASED_STATUSES:
-                self.tell(lambda events, call=call: events.confirmed(call.engine))  # type: ignore[misc]
+                self.notify(lambda events, call=call: events.confirmed(call.engine_label))  # type: ignore[misc]
                 return True
-            self.tell(
+            self.notify(
                 lambda events, call=call, status=status: events.not_confirmed(  # type: ignore[misc]
-                    call.engine, max(NO_ANSWER, status.result())
+                    call.engine_label, max(NO_ANSWER, status.result())
                 )
             )
             now = self.link.loop.time()
             first_time = self.asked.count(call.endpoint) == 1
-            if first_time and status.result() != NO_CONNECTION and now < call.until:
-                schedule.was_refused(now)
+            if first_time and status.result() != NO_CONNECTION and now < call.expires_at:
+                schedule.record_refusal(now)
         return False
 
-    def told_failed(self) -> None:
-        """No engine has confirmed it."""
+    def report_failure(self) -> None:
+        """Log and notify that no engine has confirmed the release."""
         log.warning(
-            "state not let go", completion=self.name, tried=[f"{e.address}:{e.port}" for e in self.asked]
+            "prefill state not released",
+            completion=self.name,
+            tried=[f"{e.address}:{e.port}" for e in self.asked],
         )
-        self.tell(lambda events: events.failed())
+        self.notify(lambda events: events.failed())
--- a/heathford/wire/__init__.py
+++ b/heathford/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Published protocols as bytes: HTTP/1.1 and server-sent events, read and written without I/O."""
+"""Parsers and encoders of published protocols, without I/O: HTTP/1.1 and server-sent events."""
--- a/heathford/wire/http1.py
+++ b/heathford/wire/http1.py
@@ -1,8 +1,7 @@
-"""HTTP/1.1 responses and server-sent events, read from bytes as they come; no I/O.
+"""Incremental parsers of HTTP/1.1 responses and server-sent events; no I/O.
 
-Requests stand beside it in requests.py, on the same framing.
-
-RFC 9112 for framing, the WHATWG HTML standard (section 9.2) for event streams.
+Framing follows RFC 9112, event streams follow the WHATWG HTML standard (section 9.2). Requests use the same
+framing and are parsed in requests.py.
 """
 
 import re
@@ -11,50 +10,52 @@
 
 import orjson
 
-LONGEST_CHUNK = 1 << 30  # bytes: where nothing stricter is stated, any that is no nonsense
-MOST_TRAILERS = 64  # fields: memory is bounded whatever comes
-LENGTH = re.compile(r"[0-9]{1,15}")  # int() alone takes signs, underscores and other scripts' digits
-SIZE = re.compile(rb"[0-9A-Fa-f]{1,16}")  # int() alone takes signs, underscores and 0x too
+MAX_CHUNK_BYTES = 1 << 30  # any plausible size, where the caller sets no stricter limit
+MAX_TRAILERS = 64  # fields; bounds the memory
+CONTENT_LENGTH = re.compile(r"[0-9]{1,15}")  # int() alone accepts signs, underscores and non-ASCII digits
+CHUNK_SIZE = re.compile(rb"[0-9A-Fa-f]{1,16}")  # int() alone accepts signs, underscores and 0x too
 
 
 class MalformedMessageError(Exception):
-    """What came is not what the protocol allows."""
+    """The received bytes break the protocol."""
 
 
 def json_object(data: bytes) -> dict[str, Any]:
-    """Raises MalformedMessageError where it is none."""
+    """Parse a JSON object; raises MalformedMessageError for anything else."""
     try:
         value = orjson.loads(data)
-    except orjson.JSONDecodeError as problem:
-        raise MalformedMessageError(f"no JSON: {problem}") from None
+    except orjson.JSONDecodeError as error:
+        raise MalformedMessageError(f"no JSON: {error}") from None
     if not isinstance(value, dict):
         raise MalformedMessageError("no JSON object")
     return value
 
 
 class Message:
-    """The framing that requests and responses share: bytes that came, and a body by length or in chunks.
+    """The framing that requests and responses share: received bytes, and a body of known length or in chunks.
 
-    longest_line: bytes of a head or a chunk's size line; longest_chunk: bytes that a chunk may state. It
-    guards against a size that is nonsense and would be believed for gigabytes; a chunk that long would harm.
+    max_line_bytes: limit of a head or of a chunk's size line; max_chunk_bytes: limit of the size that a chunk
+    states. A corrupt size would otherwise make the parser wait for gigabytes; a real chunk that long is
+    refused as well.
     """
 
-    def __init__(self, longest_line: int, longest_chunk: int) -> None:
-        self.longest_line, self.longest_chunk = longest_line, longest_chunk
+    def __init__(self, max_line_bytes: int, max_chunk_bytes: int) -> None:
+        self.max_line_bytes, self.max_chunk_bytes = max_line_bytes, max_chunk_bytes
         self.buffer = bytearray()
         self.headers: dict[str, str] = {}
         self.trailers: dict[str, str] = {}
         self.done = self.keep_alive = False
-        self.left = 0  # bytes of the body, or of the chunk, still to come
-        self.reads = self.read_head
+        self.remaining = 0  # bytes of the body, or of the current chunk, that are still to be received
+        self.read_next = self.read_head  # parses the next part; returns None where it needs more bytes
 
     def read_head(self) -> bytes | None:
         raise NotImplementedError
 
-    def line(self) -> bytes | None:
+    def read_line(self) -> bytes | None:
+        """Return the next line without its end, or None where it is not complete yet."""
         at = self.buffer.find(b"\r\n")
-        if at < 0 or at > self.longest_line:
-            if len(self.buffer) > self.longest_line:
+        if at < 0 or at > self.max_line_bytes:
+            if len(self.buffer) > self.max_line_bytes:
                 raise MalformedMessageError("a line too long")
             return None
         line = bytes(self.buffer[:at])
@@ -62,47 +63,48 @@
         return line
 
     def read_body(self) -> bytes | None:
-        part = self.take()
-        self.done = self.left == 0
+        part = self.take_body_bytes()
+        self.done = self.remaining == 0
         return part
 
-    def take(self) -> bytes | None:
-        part = bytes(self.buffer[: self.left])
-        del self.buffer[: self.left]
-        self.left -= len(part)
+    def take_body_bytes(self) -> bytes | None:
+        """Return the buffered bytes of the body or chunk, or None where there are none."""
+        part = bytes(self.buffer[: self.remaining])
+        del self.buffer[: self.remaining]
+        self.remaining -= len(part)
         return part or None
 
-    def read_size(self) -> bytes | None:
-        line = self.line()
+    def read_chunk_size(self) -> bytes | None:
+        line = self.read_line()
         if line is None:
             return None
         size = line.split(b";")[0].strip(b" \t")
-        if not SIZE.fullmatch(size):
+        if not CHUNK_SIZE.fullmatch(size):
             raise MalformedMessageError("a chunk without a size")
-        self.left = int(size, 16)
-        if self.left > self.longest_chunk:
+        self.remaining = int(size, 16)
+        if self.remaining > self.max_chunk_bytes:
             raise MalformedMessageError("a chunk too long")
-        self.reads = self.read_chunk if self.left else self.read_trailers
+        self.read_next = self.read_chunk if self.remaining else self.read_trailers
         return b""
 
     def read_chunk(self) -> bytes | None:
-        if self.left:
-            return self.take()
+        if self.remaining:
+            return self.take_body_bytes()
         if len(self.buffer) < 2:
             return None
         if self.buffer[:2] != b"\r\n":
             raise MalformedMessageError("a chunk longer than stated")
         del self.buffer[:2]
-        self.reads = self.read_size
+        self.read_next = self.read_chunk_size
         return b""
 
     def read_trailers(self) -> bytes | None:
-        line = self.line()
+        line = self.read_line()
         if line is None:
             return None
         if line:
-            self.trailers |= fields_of([line.decode("latin-1")])
-            if len(self.trailers) > MOST_TRAILERS:
+            self.trailers |= parse_header_fields([line.decode("latin-1")])
+            if len(self.trailers) > MAX_TRAILERS:
                 raise MalformedMessageError("too many trailers")
         else:
             self.done = True
@@ -110,34 +112,37 @@
 
 
 class Response(Message):
-    """Reads one response. feed() yields body parts; `done` once it is whole.
+    """Parses one response. `feed` yields parts of the body; `done` is set once the response is complete.
 
-    strict: bytes behind the end spoil it. Else they belong to nothing that was asked: the answer stands, and
-    the connection is not used again, where they would be taken for the next answer.
+    strict: bytes after the end are an error. Otherwise the response is valid and `keep_alive` is cleared, as
+    the bytes answer no request and would be taken for the next response on the connection.
     """
 
-    def __init__(self, longest_line: int, longest_chunk: int = LONGEST_CHUNK, strict: bool = True) -> None:
-        super().__init__(longest_line, longest_chunk)
+    def __init__(
+        self, max_line_bytes: int, max_chunk_bytes: int = MAX_CHUNK_BYTES, strict: bool = True
+    ) -> None:
+        super().__init__(max_line_bytes, max_chunk_bytes)
         self.strict = strict
         self.status = 0
-        self.until_close = False  # the body ends with the connection
+        self.until_close = False  # the body ends when the peer closes
 
     def feed(self, data: bytes) -> Iterator[bytes]:
+        """Parse received bytes and yield parts of the body. Raises MalformedMessageError."""
         self.buffer += data
         while not self.done:
-            part = self.reads()
+            part = self.read_next()
             if part is None:
                 return
             if part:
                 yield part
         if self.buffer:
             if self.strict:
-                raise MalformedMessageError("bytes after the end of a response")
+                raise MalformedMessageError("received bytes after the end of the response")
             self.keep_alive = False
             self.buffer.clear()
 
     def feed_eof(self) -> None:
-        """The other side has closed: a body without a stated length is whole now."""
+        """Handle that the peer has closed its side, which completes a body without a stated length."""
         if self.until_close:
             self.done = True
 
@@ -149,46 +154,47 @@
     def read_head(self) -> bytes | None:
         end = self.buffer.find(b"\r\n\r\n")
         if end < 0:
-            if len(self.buffer) > self.longest_line:
-                raise MalformedMessageError("a head too long")
+            if len(self.buffer) > self.max_line_bytes:
+                raise MalformedMessageError("the head of the response is too long")
             if self.buffer and not b"HTTP/1.1 ".startswith(self.buffer[:9]):
-                raise MalformedMessageError("no HTTP/1.1 response")
+                raise MalformedMessageError("the bytes are not an HTTP/1.1 response")
             return None
-        first, *lines = bytes(self.buffer[:end]).decode("latin-1").split("\r\n")
+        status_line, *lines = bytes(self.buffer[:end]).decode("latin-1").split("\r\n")
         del self.buffer[: end + 4]
-        parts = first.split(" ", 2)
+        parts = status_line.split(" ", 2)
         if len(parts) < 2 or parts[0] != "HTTP/1.1" or not (parts[1].isdigit() and len(parts[1]) == 3):
-            raise MalformedMessageError("no HTTP/1.1 status line")
+            raise MalformedMessageError("the status line is not valid HTTP/1.1")
         self.status = int(parts[1])
-        self.headers = fields_of(lines)
-        if self.status < 200:  # an interim response: the real one follows
+        self.headers = parse_header_fields(lines)
+        if self.status < 200:  # an interim response: the final one follows
             self.headers = {}
             return b""
-        self.keep_alive = "close" not in tokens_of(self.headers.get("connection", ""))
+        self.keep_alive = "close" not in parse_token_list(self.headers.get("connection", ""))
         if self.headers.get("transfer-encoding", "").lower() == "chunked":
-            self.reads = self.read_size
+            self.read_next = self.read_chunk_size
         elif self.status in (204, 304):
             self.done = True
         else:
             length = self.headers.get("content-length")
-            if length is None:  # RFC 9112, 6.3: the body ends with the connection
+            if length is None:  # RFC 9112, 6.3: the body ends when the peer closes
                 self.until_close, self.keep_alive = True, False
-                self.reads = self.read_rest
+                self.read_next = self.read_rest
                 return b""
-            if not LENGTH.fullmatch(length):
-                raise MalformedMessageError("a length that is no number")
-            self.left = int(length)
-            self.reads = self.read_body
-            self.done = self.left == 0
+            if not CONTENT_LENGTH.fullmatch(length):
+                raise MalformedMessageError("Content-Length is not a number")
+            self.remaining = int(length)
+            self.read_next = self.read_body
+            self.done = self.remaining == 0
         return b""
 
 
-def tokens_of(value: str) -> list[str]:
-    """The tokens of a field that lists them, in lower case."""
+def parse_token_list(value: str) -> list[str]:
+    """Return the tokens of a comma-separated header field in lower case."""
     return [token.strip().lower() for token in value.split(",")]
 
 
-def fields_of(lines: list[str]) -> dict[str, str]:
+def parse_header_fields(lines: list[str]) -> dict[str, str]:
+    """Return the fields by their names in lower case. Raises MalformedMessageError."""
     fields = {}
     for line in lines:
         name, colon, value = line.partition(":")
@@ -199,18 +205,19 @@
 
 
 class EventStream:
-    """Reads server-sent events; feed() yields the data of each whole event."""
+    """Parses server-sent events."""
 
-    def __init__(self, longest: int) -> None:
-        self.longest = longest  # bytes of one event
+    def __init__(self, max_event_bytes: int) -> None:
+        self.max_event_bytes = max_event_bytes
         self.buffer = b""
         self.data: list[bytes] = []
 
     def feed(self, part: bytes) -> Iterator[bytes]:
+        """Parse received bytes and yield the data of each complete event. Raises MalformedMessageError."""
         lines = (self.buffer + part).replace(b"\r\n", b"\n").split(b"\n")
         self.buffer = lines.pop()
-        if len(self.buffer) > self.longest:
-            raise MalformedMessageError("an event too long")
+        if len(self.buffer) > self.max_event_bytes:
+            raise MalformedMessageError("a server-sent event is too long")
         for line in lines:
             if not line:
                 if self.data:
@@ -218,11 +225,11 @@
                 self.data = []
             elif line.startswith(b"data:"):
                 self.data.append(line[5:].removeprefix(b" "))
-            # comments, names of events and unknown fields are passed over, as the standard says
+            # comments, event names and unknown fields are ignored, as the standard says
 
 
 def encode_request(method: str, path: str, host: str, headers: dict[str, str], body: bytes) -> bytes:
-    """One request with a body of stated length, to be sent on a connection kept alive."""
+    """Return a request with a Content-Length, for a persistent connection."""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in headers.items()]
     if body or method == "POST":
--- a/heathford/wire/request_reader.py
+++ b/heathford/wire/request_reader.py
@@ -1,33 +1,31 @@
-"""Reads the requests of one client connection, however many come behind the one in hand; no I/O.
+"""Parses the requests of one client connection, including pipelined ones; no I/O.
 
-Nothing that comes is left unread: a connection whose bytes wait in the socket can't be seen to close. Memory
-is bounded instead: what a client sends far ahead is read, but not kept.
+The owner reads all bytes that arrive, as it can't see the end of a connection while bytes wait in its socket.
+Memory is bounded instead: the bodies of requests that a client sends far ahead are dropped.
 """
 
 from collections import deque
 from dataclasses import dataclass
 
-from heathford.wire.requests import RequestError, Request
+from heathford.wire.requests import Request, RequestError
 
-MAX_BUFFERED_BYTES = (
-    8_388_608  # bytes of bodies that wait at all connections: few beside a front node's memory
-)
-MAX_QUEUED_REQUESTS = 256  # requests that wait; a client that sends more on one connection wants no answers
+MAX_BUFFERED_BYTES = 8_388_608  # of waiting bodies on all connections: little of a front node's memory
+MAX_QUEUED_REQUESTS = 256  # on one connection; a client that sends more does not wait for answers
 
 
 @dataclass
 class ReadAheadBudget:
-    """What all connections together keep of requests that wait."""
+    """The memory that all connections together use for the bodies of waiting requests."""
 
     max_bytes: int = MAX_BUFFERED_BYTES
-    has_body: int = 0
+    buffered_bytes: int = 0
 
 
 @dataclass(frozen=True)
 class ReceivedRequest:
-    """A whole request; kept: with its body.
+    """A complete request; has_body: its body was kept.
 
-    began, ended: s on the loop's clock at which its first byte and its last were read.
+    started_at, ended_at: when its first and its last byte were read, in s on the loop's clock.
     """
 
     request: Request
@@ -38,48 +36,51 @@
 
 @dataclass(frozen=True)
 class ReadFailure:
-    """Bytes from which on nothing on the connection can be read."""
+    """The point from which on nothing on the connection can be read."""
 
     error: RequestError
 
 
 class RequestReader:
-    """Requests in the order in which they came. longest_head, longest_body: bytes that one may have."""
+    """Queues the requests of one connection in the order in which they were received.
 
-    def __init__(self, longest_head: int, longest_body: int, ahead: ReadAheadBudget) -> None:
-        self.longest_head, self.longest_body = longest_head, longest_body
-        self.ahead = ahead
-        self.waiting: deque[ReceivedRequest | ReadFailure] = deque()
+    max_head_bytes, max_body_bytes: limits of one request; budget: shared by all connections.
+    """
+
+    def __init__(self, max_head_bytes: int, max_body_bytes: int, budget: ReadAheadBudget) -> None:
+        self.max_head_bytes, self.max_body_bytes = max_head_bytes, max_body_bytes
+        self.budget = budget
+        self.queue: deque[ReceivedRequest | ReadFailure] = deque()
         self.unreadable = False
-        self.current = Request(longest_head, longest_body)
+        self.current = Request(max_head_bytes, max_body_bytes)
         self.started_at = 0.0  # when the first byte of the current one was read
 
     @property
     def has_complete_request(self) -> bool:
-        """A request that has come whole waits to be taken."""
-        return bool(self.waiting)
+        """Whether a complete request, or a failure, waits to be handled."""
+        return bool(self.queue)
 
     @property
     def has_partial_request(self) -> bool:
-        """Part of a request has come, and its end has not."""
+        """Whether part of a request was received, and not its end."""
         return not self.unreadable and self.current.has_started
 
     @property
     def pending(self) -> bool:
-        """More has come than was taken."""
-        return bool(self.waiting) or self.has_partial_request
+        """Whether more was received than was handled."""
+        return bool(self.queue) or self.has_partial_request
 
     @property
     def awaits_continue(self) -> bool:
-        """The request that is coming waits for 100 (Continue) before it sends its body."""
-        return self.has_partial_request and self.current.awaits_continue
+        """Whether the client sends the body of the current request only after a 100 (Continue)."""
+        return self.has_partial_request and self.current.expects_continue
 
     def continue_sent(self) -> None:
-        """100 (Continue) has been sent."""
-        self.current.awaits_continue = False
+        """Record that 100 (Continue) has been sent."""
+        self.current.expects_continue = False
 
     def feed(self, data: bytes, now: float) -> None:
-        """Take what came; from bytes that can't be read on, the rest of the connection is dropped."""
+        """Parse received bytes; after an error all further bytes of the connection are dropped."""
         if self.unreadable:
             return
         if not self.current.has_started:
@@ -89,37 +90,39 @@
             while self.current.done:
                 self.add(self.current, now)
                 self.started_at = now
-                self.current = Request(self.longest_head, self.longest_body, self.current.rest)
+                self.current = Request(self.max_head_bytes, self.max_body_bytes, self.current.rest)
                 self.current.feed(b"")
         except RequestError as error:
             self.fail(error)
 
     def next_request(self) -> ReceivedRequest | ReadFailure | None:
-        """The next of what is whole."""
-        if not self.waiting:
+        """Remove and return the first item of the queue, if there is any."""
+        if not self.queue:
             return None
-        found = self.waiting.popleft()
-        if isinstance(found, ReceivedRequest):
-            self.ahead.has_body -= len(found.request.body)
-        return found
+        received = self.queue.popleft()
+        if isinstance(received, ReceivedRequest):
+            self.budget.buffered_bytes -= len(received.request.body)
+        return received
 
     def close(self) -> None:
-        """Drop all that waits; nothing more is read."""
-        while self.waiting:
+        """Drop all waiting requests; bytes are ignored from now on."""
+        while self.queue:
             self.next_request()
         self.unreadable = True
 
     def add(self, request: Request, now: float) -> None:
-        if len(self.waiting) >= MAX_QUEUED_REQUESTS:
+        """Queue a complete request. Raises RequestError."""
+        if len(self.queue) >= MAX_QUEUED_REQUESTS:
             raise RequestError(503, "too many requests at once")
-        # One is always kept: a client may well send its next request a moment before it has read an answer.
-        kept = not self.waiting or self.ahead.has_body + len(request.body) <= self.ahead.max_bytes
-        if not kept:
+        # One body is always kept: a client may send its next request just before it has read an answer.
+        has_body = not self.queue or self.budget.buffered_bytes + len(request.body) <= self.budget.max_bytes
+        if not has_body:
             request.body = bytearray()
-        self.ahead.has_body += len(request.body)
-        self.waiting.append(ReceivedRequest(request, self.started_at, now, kept))
+        self.budget.buffered_bytes += len(request.body)
+        self.queue.append(ReceivedRequest(request, self.started_at, now, has_body))
 
     def fail(self, error: RequestError) -> None:
-        self.waiting.append(ReadFailure(error))
+        """Queue the failure and ignore all further bytes."""
+        self.queue.append(ReadFailure(error))
         self.unreadable = True
-        self.current = Request(self.longest_head, self.longest_body)
+        self.current = Request(self.max_head_bytes, self.max_body_bytes)
--- a/heathford/wire/socket_state.py
+++ b/heathford/wire/socket_state.py
@@ -1,4 +1,4 @@
-"""What the kernel knows of a connected socket that the event loop has not come to yet."""
+"""Queries the kernel for the state of a socket that the event loop may not have handled yet."""
 
 import asyncio
 import fcntl
@@ -6,58 +6,60 @@
 import struct
 from dataclasses import dataclass
 
-SIOCOUTQ = 0x5411  # SIOCOUTQ: bytes in the send queue that the peer has not confirmed
-LOOKS = 3  # of which one has to succeed: the system may have no memory for a moment
+SIOCOUTQ = 0x5411  # ioctl: number of bytes in the send queue that the peer has not acknowledged
+POLL_ATTEMPTS = 3  # the system may have no memory for a moment
 
 
 @dataclass(frozen=True)
 class SocketState:
-    """unread: bytes or an end wait to be read.
+    """The read side of a socket.
 
-    ended: the peer has closed or shut its side, or has reset the connection.
+    unread: bytes or an end of stream wait to be read.
+
+    ended: the peer has closed or shut down its side, or has reset the connection.
     """
 
     unread: bool
     ended: bool
 
 
-NOTHING_KNOWN = SocketState(unread=True, ended=False)  # closes nothing, and gives up nothing
+UNKNOWN_STATE = SocketState(unread=True, ended=False)  # lets no connection be closed and no request given up
 
 
 def poll_flags(descriptor: int) -> int | None:
-    """What poll(2) tells of a descriptor now; None where the system has no memory to say it."""
+    """Return what poll(2) reports for a descriptor now, or None where the system has no memory for it."""
     poll = select.poll()
     poll.register(descriptor, select.POLLIN | select.POLLRDHUP)
-    for _ in range(LOOKS):
+    for _ in range(POLL_ATTEMPTS):
         try:
-            found = poll.poll(0)
+            ready = poll.poll(0)
         except OSError:
             continue
-        return found[0][1] if found else 0
+        return ready[0][1] if ready else 0
     return None
 
 
 def read_socket_state(transport: asyncio.Transport | None) -> SocketState:
-    """Ask the kernel, without waiting. A transport that is closing has ended.
+    """Return the state of a transport's socket without waiting; a transport that is closing has ended.
 
-    Guards against acting on an order of events that is already out of date: a loop that is behind, or that
-    reads a long backlog in parts, comes to an end or a request only several turns after it has arrived.
-    Costs one call to the kernel.
+    An event loop that is behind, or that reads a long backlog in parts, comes to an end of stream or to a
+    request several iterations after it has arrived, so what the loop knows may be out of date. The cost is
+    one system call.
     """
     if transport is None or transport.is_closing():
         return SocketState(unread=True, ended=True)
     flags = poll_flags(transport.get_extra_info("socket").fileno())
     if flags is None:
-        return NOTHING_KNOWN
+        return UNKNOWN_STATE
     ended = bool(flags & (select.POLLRDHUP | select.POLLHUP | select.POLLERR))
     return SocketState(unread=bool(flags), ended=ended)
 
 
 def unacknowledged_bytes(transport: asyncio.Transport | None) -> int:
-    """Bytes written that the peer's machine has not confirmed; 0 where the kernel does not say.
+    """Return the written bytes that the peer's machine has not acknowledged, or 0 where this is not known.
 
-    Asked without waiting. Those that the kernel has not sent yet are among them: it may send them until the
-    socket is closed, so they are not known to stay here. Costs a call to the kernel.
+    Bytes that the kernel has not sent yet are included: the kernel may send them until the socket is closed,
+    so they are not known to stay on this machine. The cost is one system call, which does not wait.
     """
     if transport is None or transport.is_closing():
         return 0
--- a/tests/engine_processes.py
+++ b/tests/engine_processes.py
@@ -1,4 +1,4 @@
-"""Stand-in engines as processes, which can be stopped: their machine goes on taking bytes for them."""
+"""Stand-in engines as processes that can be stopped, while the kernel still accepts bytes for them."""
 
 import asyncio
 import os
@@ -21,8 +21,8 @@
     signal.pause()
 """
 )
-FULL_QUEUE = NEVER_ACCEPTS.replace("backlog=128", "backlog=0")  # one connection fits in, no more
-SWALLOWS = (
+FULL_QUEUE = NEVER_ACCEPTS.replace("backlog=128", "backlog=0")  # the accept queue holds one connection
+READS_WITHOUT_ANSWER = (
     LISTENS
     + """
     held = []
@@ -31,7 +31,7 @@
         held[-1].recv(1 << 20)
 """
 )
-READS_AND_STOPS = (
+ANSWERS_AND_STOPS = (
     LISTENS
     + f"""
     connection = listener.accept()[0]
@@ -53,20 +53,20 @@
         self.process: asyncio.subprocess.Process | None = None
 
     async def start(self) -> None:
-        """Start it, and wait until it listens."""
+        """Start the process and wait until it listens."""
         self.process = await asyncio.create_subprocess_exec(
             sys.executable, "-c", self.script, stdout=asyncio.subprocess.PIPE, env=dict(os.environ)
         )
         assert self.process.stdout
         self.port = int(await self.process.stdout.readline())
 
-    async def told(self) -> float:
-        """The figure that its script prints next."""
+    async def read_figure(self) -> float:
+        """Return the number that its script prints next."""
         assert self.process and self.process.stdout
         return float(await self.process.stdout.readline())
 
     def stop(self) -> None:
-        """SIGSTOP: its machine accepts connections and bytes, and nobody reads them."""
+        """Send SIGSTOP: the kernel still accepts connections and bytes, and nothing reads them."""
         assert self.process
         send_signal(self.process, signal.SIGSTOP)
 
--- a/tests/test_held_state_processes.py
+++ b/tests/test_held_state_processes.py
@@ -1,7 +1,7 @@
-"""What prefill left is released in time where engines as real processes are stopped or swallow what comes.
+"""Prefill state is released in time where engine processes are stopped, or read and never answer.
 
-The front node is a process of its own. Its decode attempt is confirmed by the engine's machine, and no engine
-ever takes it: what the operators saw under fault injection.
+The front node is a process of its own. The kernel of the engine's machine acknowledges the decode attempt,
+and no engine ever handles it, as operators saw under fault injection.
 """
 
 import asyncio
@@ -15,7 +15,7 @@
 import orjson
 import pytest
 import structlog
-from engine_processes import FULL_QUEUE, NEVER_ACCEPTS, READS_AND_STOPS, SWALLOWS, EngineProcess
+from engine_processes import FULL_QUEUE, NEVER_ACCEPTS, ANSWERS_AND_STOPS, READS_WITHOUT_ANSWER, EngineProcess
 from raw_peers import request
 
 from heathford.platform.process import log_unhandled
@@ -24,35 +24,35 @@
 from heathford.standin.platform import Agent, ScriptedEngine, settings
 from heathford.wire.requests import Request
 
-LIMIT = 0.3  # s, as the stand-in's settings have it
-ALLOWANCE = 0.3  # s more, as the users state
-READY = 10.0  # s
+LIMIT = 0.3  # s for which state may be held, as the stand-in's settings say
+ALLOWANCE = 0.3  # s more, by the requirements
+TIMEOUT = 10.0  # s that a test waits for anything
 
 
 class Prefill(ScriptedEngine):
-    """Reads well; when it answered each request, and when each release came."""
+    """A prefill engine that answers, and records when it answered each request and received each release."""
 
     def __init__(self, uid: str) -> None:
         super().__init__(uid, "m0", True)
-        self.read_at: dict[str, float] = {}
+        self.answered_at: dict[str, float] = {}
         self.released_at: dict[str, float] = {}
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         name = request.headers.get("x-call-id", request.target.rpartition("/")[2])
-        times = self.released_at if request.method == "DELETE" else self.read_at
+        times = self.released_at if request.method == "DELETE" else self.answered_at
         times.setdefault(name, monotonic())
         await super().answer(request, writer)
 
 
 class Fleet:
-    """One front node as a process, and its engines."""
+    """One front node process and its engines."""
 
     def __init__(self, front: FrontProcess, agent: Agent) -> None:
         self.front, self.agent = front, agent
         self.writers: list[asyncio.StreamWriter] = []
 
     async def ask(self, name: str, request_class: str, **more: Any) -> asyncio.StreamReader:
-        """Send a request on a connection of its own."""
+        """Send a request on a new connection."""
         reader, writer = await asyncio.open_connection("127.0.0.1", self.front.address.port)
         self.writers.append(writer)
         writer.write(request(name, request_class=request_class, **more))
@@ -61,20 +61,20 @@
 
 @asynccontextmanager
 async def fleet(folder: Path, *engines: ScriptedEngine | EngineProcess) -> AsyncIterator[Fleet]:
-    """A front node that is ready, with these engines on its list."""
+    """Run a front node until it is ready, with these engines in its endpoint list."""
     for engine in engines:
         await (engine.start() if isinstance(engine, EngineProcess) else engine.open())
     agent = Agent()
     agent.engines = list(engines)  # type: ignore[arg-type]
-    seen: list[Record] = []
-    front = FrontProcess("n0", folder, settings(), [await agent.open()], [], seen.append)
+    records: list[Record] = []
+    front = FrontProcess("n0", folder, settings(), [await agent.open()], [], records.append)
     made = Fleet(front, agent)
     try:
         await front.start()
-        async with asyncio.timeout(READY):
+        async with asyncio.timeout(TIMEOUT):
             while not front.address.ready:
                 await asyncio.sleep(0.01)
-            await agent.until_watched()  # a change told before that is not heard
+            await agent.until_watched()  # an earlier change would be missed
         yield made
     finally:
         for writer in made.writers:
@@ -89,18 +89,18 @@
 
 
 async def until_released(prefill: Prefill, names: list[str]) -> None:
-    async with asyncio.timeout(READY):
+    async with asyncio.timeout(TIMEOUT):
         while not all(name in prefill.released_at for name in names):
             await asyncio.sleep(0.005)
 
 
 def test_a_state_behind_silent_decode_engines_is_released_in_time(tmp_path: Path) -> None:
-    """Three decode engines fall silent at once, one with a full accept queue; requests of both effects are on
-    their way there."""
+    """Three decode engines fall silent at once, one of them with a full accept queue, while idempotent and
+    non-idempotent requests are on their way to them."""
 
     async def day() -> None:
         prefill = Prefill("r")
-        scripts = (NEVER_ACCEPTS, FULL_QUEUE, SWALLOWS)
+        scripts = (NEVER_ACCEPTS, FULL_QUEUE, READS_WITHOUT_ANSWER)
         silent = [EngineProcess(f"w{number}", "m1", script) for number, script in enumerate(scripts)]
         async with fleet(tmp_path, prefill, *silent) as made:
             for engine in silent[:2]:
@@ -109,38 +109,36 @@
             for name in names:
                 await made.ask(name, name[:-1])
             await until_released(prefill, names)
-        held = {name: prefill.released_at[name] - prefill.read_at[name] for name in names}
+        held = {name: prefill.released_at[name] - prefill.answered_at[name] for name in names}
         assert max(held.values()) <= LIMIT + ALLOWANCE, held
 
     asyncio.run(day())
 
 
 @pytest.mark.parametrize("request_class", ["chat", "booking"])
-def test_a_state_whose_holder_stops_too_is_released_by_another_engine(
-    tmp_path: Path, request_class: str
-) -> None:
-    """Prefill's engine stops right after its answer, and all decode engines are stopped."""
+def test_a_state_whose_holder_stops_is_released_by_another_engine(tmp_path: Path, request_class: str) -> None:
+    """The prefill engine stops right after its answer, and all decode engines are stopped."""
 
     async def day() -> None:
-        holder, other = EngineProcess("r0", "m0", READS_AND_STOPS), Prefill("r1")
+        holder, other = EngineProcess("r0", "m0", ANSWERS_AND_STOPS), Prefill("r1")
         silent = [EngineProcess(f"w{number}", "m1", NEVER_ACCEPTS) for number in range(3)]
         async with fleet(tmp_path, holder, *silent) as made:
             for engine in silent:
                 engine.stop()
             await other.open()
             await made.ask("c0", request_class)
-            read_at = await holder.told()
+            answered_at = await holder.read_figure()
             made.agent.engines.append(other)
             made.agent.say(other.row)
             await until_released(other, ["c0"])
             other.close()
-        assert other.released_at["c0"] - read_at <= LIMIT + ALLOWANCE
+        assert other.released_at["c0"] - answered_at <= LIMIT + ALLOWANCE
 
     asyncio.run(day())
 
 
-def test_what_waits_behind_a_stopped_engine_is_read_anew_by_others(tmp_path: Path) -> None:
-    """Two of three decode engines are stopped: what may be repeated is served well within its time."""
+def test_requests_at_stopped_engines_are_retried_at_others(tmp_path: Path) -> None:
+    """Two of three decode engines are stopped: idempotent requests are served well before their deadline."""
 
     async def day() -> None:
         prefill, decode = Prefill("r"), ScriptedEngine("w9", "m1", False)
@@ -149,7 +147,7 @@
             for engine in silent:
                 engine.stop()
             began = monotonic()
-            async with asyncio.timeout(READY):
+            async with asyncio.timeout(TIMEOUT):
                 for number in range(6):
                     reader = await made.ask(f"c{number}", "chat")
                     assert b"data: [DONE]" in await reader.readuntil(b"0\r\n\r\n")
@@ -159,8 +157,7 @@
 
 
 def test_the_history_of_a_request_is_written_on_sigusr1(tmp_path: Path) -> None:
-    """Guards against a history that can't be read when it is needed: the signal ended in an exception that
-    nobody heard of."""
+    """Guards against a signal handler that fails unnoticed: the history was missing when it was needed."""
 
     async def day() -> None:
         prefill, decode = Prefill("r"), ScriptedEngine("w", "m1", False)
@@ -169,18 +166,18 @@
             await reader.readuntil(b"0\r\n\r\n")
             made.front.send(signal.SIGUSR1)
             log = tmp_path / "n0.log"
-            async with asyncio.timeout(READY):
+            async with asyncio.timeout(TIMEOUT):
                 while b'"history"' not in log.read_bytes():
                     await asyncio.sleep(0.01)
             await asyncio.sleep(0.1)
             lines = map(orjson.loads, log.read_bytes().splitlines())
-            told = [line["what"] for line in lines if line.get("request") == "chat0"]
-        assert [what for what in ("taken", "sent", "first event", "finished") if what not in told] == []
+            events = [line["what"] for line in lines if line.get("request") == "chat0"]
+        assert [what for what in ("taken", "sent", "first event", "finished") if what not in events] == []
 
     asyncio.run(day())
 
 
-def test_an_exception_that_a_callback_lets_through_is_logged(capsys: pytest.CaptureFixture[str]) -> None:
+def test_an_uncaught_exception_of_a_callback_is_logged(capsys: pytest.CaptureFixture[str]) -> None:
     structlog.reset_defaults()
     loop = asyncio.new_event_loop()
     log_unhandled(loop, {"message": "in a callback", "exception": ValueError("seen")})
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -84,7 +84,11 @@
 
 def link_of(*near: Endpoint) -> PlatformLink:
     return PlatformLink(
-        connect_timeout=1.0, pin_limit=0.3, idle=15.0, connections=8, listed=lambda: (near, ())
+        connect_timeout=1.0,
+        pin_limit=0.3,
+        engine_idle_timeout=15.0,
+        max_connections=8,
+        listed_engines=lambda: (near, ()),
     )
 
 
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -75,7 +75,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, request_class: str, further: bool
 ) -> None:
     """The request may have run for all we know: sent again only where that does no harm."""
-    quiet = EngineConnection.quiet
+    nothing_unread = EngineConnection.nothing_unread
 
     async def day(play: FrontSetup) -> None:
         a, b = play.engines
@@ -84,14 +84,14 @@
         kept = b.connections[0]
 
         def looked(self: EngineConnection) -> bool:
-            found = quiet(self)
+            found = nothing_unread(self)
             if self.transport and self.transport.get_extra_info("peername")[1] == int(
                 b.address.rpartition(":")[2]
             ):
                 kept.sock.close()
             return found
 
-        monkeypatch.setattr(EngineConnection, "quiet", looked)
+        monkeypatch.setattr(EngineConnection, "nothing_unread", looked)
         client = play.client()
         client.send(request("c1", request_class=request_class))
         (await a.wait_for_request(2)).sock.sendall(READ)
--- a/tests/test_release_load.py
+++ b/tests/test_release_load.py
@@ -6,7 +6,7 @@
 
 from raw_peers import FrontSetup, RawConnection, RawEngine, decode, prefill, request, run_scenario
 
-from heathford.platform.silent_engines import REMEMBERED, SILENT_AFTER, SilentEngines
+from heathford.platform.silent_engines import PROBE_INTERVAL, SILENT_AFTER, SilentEngines
 from heathford.standin.platform import READ
 
 PREFILLS, DECODES = 4, 8
@@ -62,7 +62,7 @@
 def test_an_engine_is_silent_while_it_leaves_a_release_unanswered() -> None:
     engines = SilentEngines(lambda address: 0.0)
     assert not engines.is_silent(ENGINE, 10.0)
-    engines.was_asked(ENGINE, 10.0)
+    engines.record_request(ENGINE, 10.0)
     assert not engines.is_silent(ENGINE, 10.0 + SILENT_AFTER / 2)
     assert engines.is_silent(ENGINE, 10.0 + SILENT_AFTER)
     assert not engines.is_silent(("127.0.0.1", 2), 10.0 + SILENT_AFTER)
@@ -70,28 +70,28 @@
 
 def test_an_engine_that_has_answered_is_not_silent() -> None:
     engines = SilentEngines(lambda address: 0.0)
-    engines.was_asked(ENGINE, 10.0)
-    engines.has_answered(ENGINE)
+    engines.record_request(ENGINE, 10.0)
+    engines.record_answer(ENGINE)
     assert not engines.is_silent(ENGINE, 10.0 + SILENT_AFTER)
 
 
 def test_an_engine_that_was_heard_since_is_not_silent() -> None:
     engines = SilentEngines(lambda address: 10.01)
-    engines.was_asked(ENGINE, 10.0)
+    engines.record_request(ENGINE, 10.0)
     assert not engines.is_silent(ENGINE, 10.0 + SILENT_AFTER)
 
 
 def test_a_silent_engine_is_asked_anew_by_one_release_at_a_time() -> None:
     engines = SilentEngines(lambda address: 0.0)
-    engines.was_asked(ENGINE, 10.0)
-    assert engines.is_silent(ENGINE, 10.0 + REMEMBERED / 2)
-    assert not engines.is_silent(ENGINE, 10.0 + REMEMBERED)
-    engines.was_asked(ENGINE, 10.0 + REMEMBERED)
-    assert engines.is_silent(ENGINE, 10.0 + REMEMBERED)
+    engines.record_request(ENGINE, 10.0)
+    assert engines.is_silent(ENGINE, 10.0 + PROBE_INTERVAL / 2)
+    assert not engines.is_silent(ENGINE, 10.0 + PROBE_INTERVAL)
+    engines.record_request(ENGINE, 10.0 + PROBE_INTERVAL)
+    assert engines.is_silent(ENGINE, 10.0 + PROBE_INTERVAL)
 
 
 def test_what_is_remembered_of_engines_that_are_gone_does_not_pile_up() -> None:
     engines = SilentEngines(lambda address: 0.0)
     for number in range(5_000):
-        engines.was_asked(("127.0.0.1", number), 10.0 + number * REMEMBERED / 100)
+        engines.record_request(("127.0.0.1", number), 10.0 + number * PROBE_INTERVAL / 100)
     assert len(engines) < 1_000
--- a/tests/test_release_schedule.py
+++ b/tests/test_release_schedule.py
@@ -5,12 +5,12 @@
 import pytest
 
 from heathford.interface import HELD_ALLOWANCE, STALL_ALLOWANCE
-from heathford.platform.link import kept_back
+from heathford.platform.link import reserved_connections
 from heathford.platform.release_schedule import (
-    ASKED_MOST,
-    REFUSED_MOST,
+    MAX_ENGINES_ASKED,
+    MAX_REFUSALS,
     MAX_ROUND_INTERVAL,
-    SPACINGS,
+    ROUND_INTERVALS_PER_LIMIT,
     ReleaseSchedule,
 )
 from heathford.policy.held_state import RELEASE_DURATION, PendingReleases, release_time
@@ -22,10 +22,10 @@
     """When engines are asked of which none says anything."""
     now, times = 10.0, list[float]()
     schedule = ReleaseSchedule(now, limit)
-    while (wait := schedule.next_in(now)) is not None:
+    while (wait := schedule.next_round_in(now)) is not None:
         now += wait
-        for _ in range(schedule.batch):
-            schedule.was_asked(now)
+        for _ in range(schedule.batch_size):
+            schedule.record_request(now)
             times.append(round(now - 10.0, 6))
     return times
 
@@ -33,27 +33,27 @@
 @pytest.mark.parametrize("limit", [0.06, 0.3, 1.0])
 def test_where_engines_are_silent_ever_more_are_asked_at_once(limit: float) -> None:
     times = times_asked(limit)
-    spacing = min(MAX_ROUND_INTERVAL, limit / SPACINGS)
+    spacing = min(MAX_ROUND_INTERVAL, limit / ROUND_INTERVALS_PER_LIMIT)
     rounds = [0, 1, 2, 2, 3, 3, 3, 3, *8 * [4]]
-    assert times == pytest.approx([number * spacing for number in rounds]) and len(times) == ASKED_MOST
+    assert times == pytest.approx([number * spacing for number in rounds]) and len(times) == MAX_ENGINES_ASKED
     assert times[3] <= RELEASE_DURATION
 
 
 def test_nobody_is_asked_once_the_time_is_over() -> None:
     schedule = ReleaseSchedule(10.0, LIMIT)
-    schedule.was_asked(10.0)
-    assert schedule.next_in(10.0 + LIMIT) is None
+    schedule.record_request(10.0)
+    assert schedule.next_round_in(10.0 + LIMIT) is None
 
 
 def test_one_that_refuses_counts_as_not_asked_and_the_next_is_asked_at_once() -> None:
     schedule = ReleaseSchedule(10.0, LIMIT)
-    for _ in range(REFUSED_MOST):
-        schedule.was_asked(10.0)
-        schedule.was_refused(10.0)
-        assert schedule.next_in(10.0) == 0.0
-    schedule.was_asked(10.0)
-    schedule.was_refused(10.0)
-    assert schedule.next_in(10.0) == pytest.approx(MAX_ROUND_INTERVAL)
+    for _ in range(MAX_REFUSALS):
+        schedule.record_request(10.0)
+        schedule.record_refusal(10.0)
+        assert schedule.next_round_in(10.0) == 0.0
+    schedule.record_request(10.0)
+    schedule.record_refusal(10.0)
+    assert schedule.next_round_in(10.0) == pytest.approx(MAX_ROUND_INTERVAL)
 
 
 @pytest.mark.parametrize("limit", [0.05, 0.3, 0.5, 2.0])
@@ -93,7 +93,7 @@
 
 @pytest.mark.parametrize("connections, kept", [(1, 0), (8, 0), (9, 1), (19, 1), (100, 5)])
 def test_a_connection_is_kept_back_for_releases(connections: int, kept: int) -> None:
-    assert kept_back(connections) == kept
+    assert reserved_connections(connections) == kept
 
 
 def test_late_turns_of_a_busy_machine_do_not_add_up() -> None:
@@ -102,16 +102,16 @@
     follow. What showed it: releases confirmed after 0.252 and 0.273 s, where 0.25 are allowed."""
     late, now, times = 0.01, 0.0, []
     schedule = ReleaseSchedule(now, 0.3)
-    while (wait := schedule.next_in(now)) is not None and schedule.asked < 9:
+    while (wait := schedule.next_round_in(now)) is not None and schedule.asked < 9:
         now += wait + (late if wait else 0.0)
-        for _ in range(schedule.batch):
-            schedule.was_asked(now)
+        for _ in range(schedule.batch_size):
+            schedule.record_request(now)
             times.append(round(now, 3))
     assert times[8] <= 4 * MAX_ROUND_INTERVAL + late + 1e-9
 
 
 def test_a_machine_that_was_stopped_still_listens_between_two_questions() -> None:
     schedule = ReleaseSchedule(0.0, 1.0)
-    schedule.was_asked(0.0)
-    schedule.was_asked(0.4)
-    assert schedule.next_in(0.4) == pytest.approx(MAX_ROUND_INTERVAL / 2)
+    schedule.record_request(0.0)
+    schedule.record_request(0.4)
+    assert schedule.next_round_in(0.4) == pytest.approx(MAX_ROUND_INTERVAL / 2)
--- a/tests/test_request_reader.py
+++ b/tests/test_request_reader.py
@@ -79,33 +79,33 @@
 
 def test_a_flood_is_read_and_not_kept() -> None:
     """Read, so that the connection can be seen to close; what is not kept is answered as busy."""
-    ahead = ReadAheadBudget(max_bytes=1_000)
-    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
+    budget = ReadAheadBudget(max_bytes=1_000)
+    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, budget)
     body = b"x" * 400
     request = b"POST /a HTTP/1.1\r\nHost: o\r\nContent-Length: 400\r\n\r\n" + body
     for _ in range(10 * MAX_QUEUED_REQUESTS):
         requests.feed(request, 0.0)
-    assert ahead.has_body == 800
+    assert budget.buffered_bytes == 800
     found = taken(requests)
     assert found[:3] == [("/a", body, True), ("/a", body, True), ("/a", b"", False)]
-    assert len(found) == MAX_QUEUED_REQUESTS + 1 and found[-1] == 503 and ahead.has_body == 0
+    assert len(found) == MAX_QUEUED_REQUESTS + 1 and found[-1] == 503 and budget.buffered_bytes == 0
 
 
 def test_one_request_ahead_is_always_kept() -> None:
-    ahead = ReadAheadBudget(max_bytes=0)
-    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
+    budget = ReadAheadBudget(max_bytes=0)
+    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, budget)
     requests.feed(SIZED + SIZED, 0.0)
     assert taken(requests) == [("/a", b"hello", True), ("/a", b"", False)]
 
 
 @pytest.mark.parametrize("after", [b"", PLAIN, BROKEN, SIZED[:-2]])
 def test_a_reader_that_is_closed_keeps_nothing(after: bytes) -> None:
-    ahead = ReadAheadBudget()
-    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, ahead)
+    budget = ReadAheadBudget()
+    requests = RequestReader(LONGEST_HEAD, LONGEST_BODY, budget)
     requests.feed(SIZED + after, 0.0)
     requests.close()
     requests.feed(SIZED, 0.0)
-    assert requests.next_request() is None and not requests.pending and ahead.has_body == 0
+    assert requests.next_request() is None and not requests.pending and budget.buffered_bytes == 0
 
 
 def test_a_body_that_waits_to_be_asked_for() -> None:
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -93,6 +93,6 @@
 def test_a_body_that_waits_to_be_asked_for() -> None:
     request = Request(1024, 1024)
     request.feed(head(b"Expect: 100-continue", b"Content-Length: 2"))
-    assert request.awaits_continue and not request.done
+    assert request.expects_continue and not request.done
     request.feed(b"ab")
     assert request.done
--- a/tests/test_slow_send.py
+++ b/tests/test_slow_send.py
@@ -1,11 +1,9 @@
-"""A long request at an engine that reads slowly is told a deadline that is out of date when it has arrived.
+"""The deadline in a request's head must not be out of date when the last byte has arrived.
 
-What happens: the head of a request tells the engine how long the front node will wait, and leaves at once;
-the last byte of a prompt of 250 kB leaves when the engine has read the rest. What the engine was told is then
-more than its client has left, by as long as that took.
-
-Why: nothing bounded the time from the first byte of an attempt to its last. What showed it: soak seed 9333,
-an attempt whose bytes took 0.843 s, told 0.842 s more than was left, where 0.15 s are allowed.
+The head of a request states how long the front node will wait, and leaves at once; the last byte of a 250 kB
+prompt leaves when the engine has read the rest. Without a bound on the time from the first byte of an attempt
+to its last, the engine believes in more time than its client has left. Seen with soak seed 9333: the bytes
+took 0.843 s, and the deadline was 0.842 s too late, where 0.15 s are allowed.
 """
 
 import asyncio
@@ -21,53 +19,57 @@
 
 LARGE = 250_000  # bytes of a prompt, within the 256 KiB of a body
 SMALL_BUFFER = 4_096  # bytes
-SLACK = 0.15  # s by which the deadline told may be more than what is left
-STEP = 0.01  # s between two reads of the slow engine
-STEP_BYTES = 4_000  # of one read: a prompt takes it some 0.6 s
+SLACK = 0.15  # s by which the stated deadline may exceed the time left
+READ_INTERVAL = 0.01  # s between two reads of the slow engine
+READ_BYTES = 4_000  # of one read: a prompt takes some 0.6 s
 
 
-def slow(engine: RawEngine) -> RawEngine:
-    """Its receive buffer is small, and it reads in steps."""
+def with_small_buffer(engine: RawEngine) -> RawEngine:
+    """Make the engine's receive buffer small."""
     engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, SMALL_BUFFER)
     return engine
 
 
 @pytest.mark.parametrize("role", ["prefill", "decode"])
 @pytest.mark.parametrize("request_class", ["chat", "booking"])
-def test_no_attempt_arrives_long_after_its_deadline_was_told(
+def test_no_attempt_arrives_long_after_its_deadline_was_stated(
     tmp_path: Path, role: str, request_class: str
 ) -> None:
-    """It is given up while its last byte is here, and has not run: another engine may have it."""
-    engines = [slow(prefill()), decode()] if role == "prefill" else [prefill(), slow(decode())]
-    place = 0 if role == "prefill" else 1
+    """The attempt is given up while its last byte is in this process: it has not run and may be retried."""
+    engines = (
+        [with_small_buffer(prefill()), decode()]
+        if role == "prefill"
+        else [prefill(), with_small_buffer(decode())]
+    )
+    slow_index = 0 if role == "prefill" else 1
 
-    async def read_in_steps(engine: RawEngine, arrivals: list[float]) -> None:
+    async def read_slowly(engine: RawEngine, transfer_times: list[float]) -> None:
         sock, _ = await asyncio.get_running_loop().sock_accept(engine.listener)
-        began, got = monotonic(), b""
-        while part := await asyncio.get_running_loop().sock_recv(sock, STEP_BYTES):
-            got += part
-            head, end, body = got.partition(b"\r\n\r\n")
+        started_at, received = monotonic(), b""
+        while part := await asyncio.get_running_loop().sock_recv(sock, READ_BYTES):
+            received += part
+            head, end, body = received.partition(b"\r\n\r\n")
             if end and len(body) == int(head.rpartition(b"Content-Length: ")[2].split(b"\r\n")[0]):
-                arrivals.append(monotonic() - began)
-            await asyncio.sleep(STEP)
+                transfer_times.append(monotonic() - started_at)
+            await asyncio.sleep(READ_INTERVAL)
 
-    async def day(play: FrontSetup) -> None:
-        arrivals: list[float] = []
-        play.engines[place].listener.setblocking(False)
-        reading = asyncio.create_task(read_in_steps(play.engines[place], arrivals))
-        client = play.client()
+    async def scenario(setup: FrontSetup) -> None:
+        transfer_times: list[float] = []
+        setup.engines[slow_index].listener.setblocking(False)
+        read_task = asyncio.create_task(read_slowly(setup.engines[slow_index], transfer_times))
+        client = setup.client()
         client.send(request("c0", request_class=request_class, size=LARGE))
-        if place:
-            releases = asyncio.create_task(answer_releases(play.engines[0]))
-            held = await play.engines[0].wait_for_request()
-            while not is_whole(held):
-                held.read_available()
+        if slow_index:
+            release_task = asyncio.create_task(answer_releases(setup.engines[0]))
+            connection = await setup.engines[0].wait_for_request()
+            while not is_whole(connection):
+                connection.read_available()
                 await asyncio.sleep(0.002)
-            held.sock.sendall(READ)
+            connection.sock.sendall(READ)
         await asyncio.sleep(1.0)
-        reading.cancel()
-        if place:
-            releases.cancel()
-        assert not [late for late in arrivals if late > SLACK], arrivals
+        read_task.cancel()
+        if slow_index:
+            release_task.cancel()
+        assert not [late for late in transfer_times if late > SLACK], transfer_times
 
-    run_scenario(tmp_path, day, *engines)
+    run_scenario(tmp_path, scenario, *engines)
