--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -1,6 +1,6 @@
-"""The deadline told to an engine is never more than what the client may have left.
+"""The deadline stated to an engine is never later than the client's.
 
-It counts from the first byte of the request that this process read, at each attempt anew.
+The client's time counts from the first byte of its request that was read; each attempt states what is left.
 """
 
 import asyncio
@@ -13,71 +13,71 @@
 from heathford.standin.platform import READ, WORDS
 
 BUDGET = 3_000  # ms
-SLACK = 150  # ms that the users allow
+SLACK = 150  # ms by which it may be later, by the requirements
 WAIT = 0.3  # s: less than the time after which an engine counts as slow
 
 
-def most(begun: float) -> float:
-    """ms that may be told now of a request that began to come then."""
-    return BUDGET - 1000 * (asyncio.get_running_loop().time() - begun) + SLACK
+def max_budget(started_at: float) -> float:
+    """Return the ms that may be stated now for a request whose first byte was read at `started_at` (s)."""
+    return BUDGET - 1000 * (asyncio.get_running_loop().time() - started_at) + SLACK
 
 
-@pytest.mark.parametrize("cut", [1, 60, -1], ids=["first byte", "in the head", "last byte"])
-def test_of_a_request_that_comes_in_pieces(tmp_path: Path, cut: int) -> None:
-    """Seen before: it counted from the last byte, so a slow writer's engine was told too much."""
+@pytest.mark.parametrize("split_at", [1, 60, -1], ids=["first byte", "in the head", "last byte"])
+def test_budget_of_a_request_that_arrives_in_pieces(tmp_path: Path, split_at: int) -> None:
+    """Guards against a budget that counts from the last byte: too much was stated for a slow client."""
 
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        # One that may not be repeated: its decode engine is told all the time that is left.
-        client, begun = play.client(), play.node.loop.time()
-        said = request("c0", BUDGET, request_class="booking")
-        client.send(said[:cut])
+    async def scenario(setup: FrontSetup) -> None:
+        a, b = setup.engines
+        # non-idempotent: all the time left is stated to its decode engine
+        client, started_at = setup.client(), setup.node.loop.time()
+        data = request("c0", BUDGET, request_class="booking")
+        client.send(data[:split_at])
         await asyncio.sleep(WAIT)
-        client.send(said[cut:])
+        client.send(data[split_at:])
         (await a.wait_for_request()).sock.sendall(READ)
-        told = int((await b.wait_for_request()).header("X-Budget-Ms"))
-        assert 0 < told <= BUDGET - 1000 * WAIT
-        assert told <= most(begun)
+        stated = int((await b.wait_for_request()).header("X-Budget-Ms"))
+        assert 0 < stated <= BUDGET - 1000 * WAIT
+        assert stated <= max_budget(started_at)
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_of_a_request_that_stands_behind_another(tmp_path: Path) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client, begun = play.client(), play.node.loop.time()
+def test_budget_of_a_pipelined_request(tmp_path: Path) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        a, b = setup.engines
+        client, started_at = setup.client(), setup.node.loop.time()
         client.send(b"".join(request(name, BUDGET, request_class="booking") for name in ("c0", "c1")))
-        held = await a.wait_for_request()
+        connection = await a.wait_for_request()
         await asyncio.sleep(WAIT)
-        held.sock.sendall(READ)
+        connection.sock.sendall(READ)
         (await b.wait_for_request()).sock.sendall(WORDS["error"])
         (await a.wait_for_request(2)).sock.sendall(READ)
-        told = int((await b.wait_for_request(2)).header("X-Budget-Ms"))
-        assert 0 < told <= min(BUDGET - 1000 * WAIT, most(begun))
+        stated = int((await b.wait_for_request(2)).header("X-Budget-Ms"))
+        assert 0 < stated <= min(BUDGET - 1000 * WAIT, max_budget(started_at))
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_of_a_request_that_waits_in_the_queue(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_budget_of_a_request_that_waits_in_the_queue(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
     pick, closed = Router.pick_prefill_engine, [True]
     monkeypatch.setattr(Router, "pick_prefill_engine", lambda *rest: None if closed[0] else pick(*rest))
 
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client, begun = play.client(), play.node.loop.time()
+    async def scenario(setup: FrontSetup) -> None:
+        a, b = setup.engines
+        client, started_at = setup.client(), setup.node.loop.time()
         client.send(request("c0", BUDGET))
         await asyncio.sleep(WAIT)
         closed[0] = False
-        told = int((await a.wait_for_request()).header("X-Budget-Ms"))
-        assert 0 < told <= min(BUDGET - 1000 * WAIT, most(begun))
+        stated = int((await a.wait_for_request()).header("X-Budget-Ms"))
+        assert 0 < stated <= min(BUDGET - 1000 * WAIT, max_budget(started_at))
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
 
 
-def test_of_each_further_attempt_and_one_held_behind_a_release(tmp_path: Path) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b, other = play.engines
-        client, begun = play.client(), play.node.loop.time()
+def test_budget_of_a_retry_that_waits_for_a_release(tmp_path: Path) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        a, b, other = setup.engines
+        client, started_at = setup.client(), setup.node.loop.time()
         client.send(request("c0", BUDGET))
         await until(lambda: a.posts + other.posts == 1, "the first attempt")
         first = a if a.posts else other
@@ -88,19 +88,19 @@
         release.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: a.posts + other.posts == 2, "a further attempt")
         engine = next(e for e in (a, other) if e.posts == (2 if e is first else 1))
-        told = int((await engine.wait_for_request(engine.posts)).header("X-Budget-Ms"))
-        assert 0 < told <= min(BUDGET - 1000 * (WAIT + 0.05), most(begun))
+        stated = int((await engine.wait_for_request(engine.posts)).header("X-Budget-Ms"))
+        assert 0 < stated <= min(BUDGET - 1000 * (WAIT + 0.05), max_budget(started_at))
 
-    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"))
+    run_scenario(tmp_path, scenario, prefill(), decode(), prefill("r2"))
 
 
-def test_a_request_that_took_all_its_time_to_come_is_refused(tmp_path: Path) -> None:
-    async def day(play: FrontSetup) -> None:
-        a, b = play.engines
-        client, said = play.client(), request("c0", budget=200)
-        client.send(said[:-1])
+def test_a_request_that_arrives_after_its_deadline_is_refused(tmp_path: Path) -> None:
+    async def scenario(setup: FrontSetup) -> None:
+        a, b = setup.engines
+        client, data = setup.client(), request("c0", budget=200)
+        client.send(data[:-1])
         await asyncio.sleep(0.25)
-        client.send(said[-1:])
+        client.send(data[-1:])
         assert await client.wait_for_answers(1) == [503] and not a.posts
 
-    run_scenario(tmp_path, day)
+    run_scenario(tmp_path, scenario)
--- a/tests/test_platform_link.py
+++ b/tests/test_platform_link.py
@@ -1,4 +1,4 @@
-"""The platform's link against a socket that a test answers by hand, byte by byte."""
+"""The platform's link against engines that are plain sockets, which the tests answer byte by byte."""
 
 import asyncio
 import select
@@ -20,12 +20,12 @@
 LARGE = b"x" * 33_554_432  # bytes: more than the buffers of both sockets hold
 
 
-class Heard:
-    """What a link tells of a dispatch, and what the engine sees of it at that moment."""
+class RecordingCallEvents:
+    """Records the outcomes of an attempt, each with what `look` returns at that moment."""
 
     def __init__(self, look: Callable[[], Any]) -> None:
         self.look = look
-        self.ends: list[tuple[Outcome, Any]] = []
+        self.outcomes: list[tuple[Outcome, Any]] = []
 
     def may_send(self) -> bool:
         return True
@@ -37,31 +37,31 @@
     def tokens(self, part: Any) -> None: ...
 
     def ended(
-        self, verdict: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
+        self, outcome: Outcome, detail: int, load: Mapping[str, float], answer: Mapping[str, Any]
     ) -> None:
-        self.ends.append((verdict, self.look()))
+        self.outcomes.append((outcome, self.look()))
 
 
 class Engine:
-    """A listening socket; the test is the engine."""
+    """A listening socket, for which the test acts as the engine."""
 
     def __init__(self) -> None:
         self.listener = socket.create_server(("127.0.0.1", 0))
         self.listener.setblocking(False)
-        self.held: list[socket.socket] = []
+        self.connections: list[socket.socket] = []
 
     async def accepted(self) -> socket.socket:
-        held, _ = await asyncio.get_running_loop().sock_accept(self.listener)
-        held.setblocking(False)
-        self.held.append(held)
-        return held
+        connection, _ = await asyncio.get_running_loop().sock_accept(self.listener)
+        connection.setblocking(False)
+        self.connections.append(connection)
+        return connection
 
     def endpoint(self) -> Endpoint:
         return Endpoint(1, "e", Role.DECODE, *self.listener.getsockname())
 
     def close(self) -> None:
-        for held in (self.listener, *self.held):
-            held.close()
+        for connection in (self.listener, *self.connections):
+            connection.close()
 
 
 @pytest.fixture
@@ -71,199 +71,202 @@
     engine.close()
 
 
-def at_end(held: socket.socket) -> bool:
-    """Whether the other side has ended: seen without waiting, as on loopback it is known at once."""
-    return bool(select.select([held], [], [], 0.0)[0]) and held.recv(65_536) == b""
+def at_end(connection: socket.socket) -> bool:
+    """Return whether the peer has closed, without waiting: on loopback this is known at once."""
+    return bool(select.select([connection], [], [], 0.0)[0]) and connection.recv(65_536) == b""
 
 
-async def until(true: Callable[[], bool]) -> None:
+async def until(condition: Callable[[], bool]) -> None:
     async with asyncio.timeout(5.0):
-        while not true():
+        while not condition():
             await asyncio.sleep(0.005)
 
 
-def link_of(*near: Endpoint) -> PlatformLink:
+def link_to(*endpoints: Endpoint) -> PlatformLink:
     return PlatformLink(
         connect_timeout=1.0,
         pin_limit=0.3,
         engine_idle_timeout=15.0,
         max_connections=8,
-        listed_engines=lambda: (near, ()),
+        listed_engines=lambda: (endpoints, ()),
     )
 
 
 def send(
-    link: PlatformLink, engine: Engine, heard: Heard, body: bytes = b"{}", timeout: float = 5.0
+    link: PlatformLink, engine: Engine, events: RecordingCallEvents, body: bytes = b"{}", timeout: float = 5.0
 ) -> EngineCall:
-    return link.send(engine.endpoint(), "a1", ("/v1/chat/completions", body), None, "", timeout, heard)
+    return link.send(engine.endpoint(), "a1", ("/v1/chat/completions", body), None, "", timeout, events)
 
 
 @pytest.mark.parametrize("how", ["cancelled", "timed out"])
-def test_given_up_means_ended_at_the_engine(engine: Engine, how: str) -> None:
-    """Guards against a rate-limit reply that leaves before the dispatch's connection has closed: for its
-    client and the engine the dispatch is still out then. Seen with a turn due in the same round of a loop."""
-
-    async def day() -> None:
-        link = link_of()
-        heard = Heard(lambda: at_end(engine.held[0]))
-        call = send(link, engine, heard, timeout=5.0 if how == "cancelled" else 0.2)
-        held = await engine.accepted()
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-        assert held.recv(65_536).endswith(b"{}")
+def test_an_attempt_ends_after_its_connection_is_closed(engine: Engine, how: str) -> None:
+    """Guards against an answer to the client that leaves before the attempt's connection is closed: for the
+    client and the engine the attempt is still in flight then. Seen with a callback due in the same iteration
+    of the event loop."""
+
+    async def scenario() -> None:
+        link = link_to()
+        events = RecordingCallEvents(lambda: at_end(engine.connections[0]))
+        call = send(link, engine, events, timeout=5.0 if how == "cancelled" else 0.2)
+        connection = await engine.accepted()
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+        assert connection.recv(65_536).endswith(b"{}")
         if how == "cancelled":
             call.cancel()
-        await until(lambda: bool(heard.ends))
-        assert heard.ends == [(Outcome(how), True)]
+        await until(lambda: bool(events.outcomes))
+        assert events.outcomes == [(Outcome(how), True)]
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_answered_before_the_request_has_left(engine: Engine) -> None:
-    """Guards against the rest of a request that leaves behind the verdict that it was turned away. Could harm
-    by one new connection after a refusal of a long prompt."""
+def test_an_answer_before_the_request_has_left_closes_the_connection(engine: Engine) -> None:
+    """Guards against the rest of a request that leaves after the engine has refused it. The cost is a new
+    connection after a refusal of a long prompt."""
 
-    async def day() -> None:
-        link = link_of()
-        heard = Heard(lambda: None)
-        send(link, engine, heard, body=LARGE)
-        held = await engine.accepted()
+    async def scenario() -> None:
+        link = link_to()
+        events = RecordingCallEvents(lambda: None)
+        send(link, engine, events, body=LARGE)
+        connection = await engine.accepted()
         await asyncio.sleep(0.05)
-        held.send(BUSY)
-        await until(lambda: bool(heard.ends))
-        got, ended = 0, False
+        connection.send(BUSY)
+        await until(lambda: bool(events.outcomes))
+        received, ended = 0, False
         async with asyncio.timeout(5.0):
             while not ended:
                 try:
-                    part = await asyncio.get_running_loop().sock_recv(held, 1 << 20)
+                    part = await asyncio.get_running_loop().sock_recv(connection, 1 << 20)
                 except ConnectionError:
                     part = b""
-                got, ended = got + len(part), not part
-        assert heard.ends == [(Outcome.FULL, None)] and got < len(LARGE) and link.pools.open == 0
+                received, ended = received + len(part), not part
+        assert events.outcomes == [(Outcome.FULL, None)] and received < len(LARGE) and link.pools.open == 0
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_a_silent_holder_is_not_the_only_one_asked_to_let_go(engine: Engine) -> None:
-    """Seen on the whole fleet with a zone lost: a front with no other connection asked the holder five times
-    over ("tried": the same address five times) and gave up. Any engine lets go of what another holds."""
+def test_a_silent_holder_is_not_the_only_engine_asked_to_release(engine: Engine) -> None:
+    """Seen in a fleet that lost a zone: a front node with no other connection asked the holder five times, as
+    the log field "tried" showed, and gave up. Any engine releases what another one holds."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         other = Engine()
         try:
-            link = link_of(engine.endpoint(), other.endpoint())
-            began = link.loop.time()
+            link = link_to(engine.endpoint(), other.endpoint())
+            started_at = link.loop.time()
             link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
-            held = await other.accepted()
-            await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-            assert held.recv(65_536).startswith(b"DELETE /bootstrap/rooms/a1 ")
-            assert link.loop.time() - began < 0.3
-            held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
+            connection = await other.accepted()
+            await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+            assert connection.recv(65_536).startswith(b"DELETE /bootstrap/rooms/a1 ")
+            assert link.loop.time() - started_at < 0.3
+            connection.send(b"HTTP/1.1 204 No Content\r\n\r\n")
             await until(lambda: not link.releases)
             assert not link.failed_releases
         finally:
             other.close()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_what_is_sent_after_a_release_starts_once_it_is_through(engine: Engine) -> None:
-    """Guards against a release that takes the state of the dispatch after it."""
+def test_an_attempt_starts_once_the_release_before_it_has_ended(engine: Engine) -> None:
+    """Guards against a release that takes the state of the attempt that follows it."""
 
-    async def day() -> None:
-        link = link_of()
+    async def scenario() -> None:
+        link = link_to()
         link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
-        held = await engine.accepted()
-        send(link, engine, Heard(lambda: None))
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-        assert held.recv(65_536).startswith(b"DELETE")
+        connection = await engine.accepted()
+        send(link, engine, RecordingCallEvents(lambda: None))
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+        assert connection.recv(65_536).startswith(b"DELETE")
         await asyncio.sleep(0.03)
-        assert link.releases and not select.select([held, engine.listener], [], [], 0.0)[0]
-        held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
-        other = await engine.accepted()  # the first is used again a little later
+        assert link.releases and not select.select([connection, engine.listener], [], [], 0.0)[0]
+        connection.send(b"HTTP/1.1 204 No Content\r\n\r\n")
+        other = await engine.accepted()  # the first connection is used again only after a delay
         await until(lambda: bool(select.select([other], [], [], 0.0)[0]))
         assert other.recv(65_536).startswith(b"POST")
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_what_waits_for_a_release_when_it_is_withdrawn_is_never_sent(engine: Engine) -> None:
-    async def day() -> None:
-        link = link_of()
+def test_an_attempt_withdrawn_while_it_waits_for_a_release_is_never_sent(engine: Engine) -> None:
+    async def scenario() -> None:
+        link = link_to()
         link.release(engine.endpoint(), "a1", RecordingReleaseEvents())
-        heard = Heard(lambda: None)
-        call = send(link, engine, heard)
-        held = await engine.accepted()
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-        assert held.recv(65_536).startswith(b"DELETE ")
+        events = RecordingCallEvents(lambda: None)
+        call = send(link, engine, events)
+        connection = await engine.accepted()
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+        assert connection.recv(65_536).startswith(b"DELETE ")
         call.withdraw()
-        assert heard.ends == [(Outcome.UNSENT, None)]
-        held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
+        assert events.outcomes == [(Outcome.UNSENT, None)]
+        connection.send(b"HTTP/1.1 204 No Content\r\n\r\n")
         await asyncio.sleep(0.1)
-        assert not select.select([held, engine.listener], [], [], 0.0)[0] and len(heard.ends) == 1
+        assert not select.select([connection, engine.listener], [], [], 0.0)[0] and len(events.outcomes) == 1
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("reset", [False, True])
-def test_an_answer_may_end_with_its_connection_unless_it_broke(engine: Engine, reset: bool) -> None:
-    async def day() -> None:
-        link = link_of()
-        heard = Heard(lambda: None)
-        send(link, engine, heard)
-        held = await engine.accepted()
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-        held.recv(65_536)
-        held.send(b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nbusy")
+def test_an_answer_may_end_with_its_connection_unless_the_connection_broke(
+    engine: Engine, reset: bool
+) -> None:
+    async def scenario() -> None:
+        link = link_to()
+        events = RecordingCallEvents(lambda: None)
+        send(link, engine, events)
+        connection = await engine.accepted()
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+        connection.recv(65_536)
+        connection.send(b"HTTP/1.1 503 Busy\r\nX-Rejected: 1\r\nConnection: close\r\n\r\nbusy")
         await asyncio.sleep(0.05)
         if reset:
-            held.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
-        held.close()
-        await until(lambda: bool(heard.ends))
-        assert heard.ends == [(Outcome.BROKEN if reset else Outcome.FULL, None)] and link.pools.open == 0
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
+        connection.close()
+        await until(lambda: bool(events.outcomes))
+        assert events.outcomes == [(Outcome.BROKEN if reset else Outcome.FULL, None)] and link.pools.open == 0
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_what_has_begun_is_not_withdrawn(engine: Engine) -> None:
-    async def day() -> None:
-        link = link_of()
-        heard = Heard(lambda: None)
-        call = send(link, engine, heard)
-        held = await engine.accepted()
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
+def test_an_attempt_that_has_left_is_not_withdrawn(engine: Engine) -> None:
+    async def scenario() -> None:
+        link = link_to()
+        events = RecordingCallEvents(lambda: None)
+        call = send(link, engine, events)
+        connection = await engine.accepted()
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
         call.withdraw()
-        assert not heard.ends and not at_end(held)
+        assert not events.outcomes and not at_end(connection)
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-def test_dead_engines_are_passed_over_at_once(engine: Engine) -> None:
-    """A lost zone: each refuses at once, and a wait after each had used the limit up."""
+def test_engines_that_refuse_connections_are_skipped_at_once(engine: Engine) -> None:
+    """In a lost zone each engine refuses at once, and a wait after each of them would use up the limit."""
 
-    async def day() -> None:
+    async def scenario() -> None:
         dead = []
         for _ in range(6):
-            gone = Engine()
-            dead.append(gone.endpoint())
-            gone.close()
-        link = link_of(*dead, engine.endpoint())
-        began = link.loop.time()
+            closed_engine = Engine()
+            dead.append(closed_engine.endpoint())
+            closed_engine.close()
+        link = link_to(*dead, engine.endpoint())
+        started_at = link.loop.time()
         link.release(dead[0], "a1", RecordingReleaseEvents())
-        held = await engine.accepted()
-        assert link.loop.time() - began < 0.2
-        await until(lambda: bool(select.select([held], [], [], 0.0)[0]))
-        held.send(b"HTTP/1.1 204 No Content\r\n\r\n")
+        connection = await engine.accepted()
+        assert link.loop.time() - started_at < 0.2
+        await until(lambda: bool(select.select([connection], [], [], 0.0)[0]))
+        connection.send(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not link.releases)
         assert not link.failed_releases
 
-    asyncio.run(day())
+    asyncio.run(scenario())
 
 
-E = [Endpoint(n, f"e{n}", Role.PREFILL, "127.0.0.1", n) for n in range(6)]
+ENGINES = [Endpoint(n, f"e{n}", Role.PREFILL, "127.0.0.1", n) for n in range(6)]
 
 
 @pytest.mark.parametrize(
-    "asked, kept, near, far, then",
+    "asked, connected, same_zone, other_zones, expected",
     [
         ([0], [3, 2], [1, 2], [4], {3}),
         ([0, 3], [3, 2], [1, 2], [4], {2}),
@@ -276,26 +279,27 @@
         ([0], [], [], [], {0}),
     ],
 )
-def test_whom_to_ask_next_to_let_go(
-    asked: list[int], kept: list[int], near: list[int], far: list[int], then: set[int]
+def test_which_engine_is_asked_next_to_release(
+    asked: list[int], connected: list[int], same_zone: list[int], other_zones: list[int], expected: set[int]
 ) -> None:
-    """The kept connection used last, then near engines and far ones in turn; else the holder again."""
+    """The connected engine that last sent something, then engines of the own zone and of others in turn, else
+    the holder again."""
     found = {
         next_to_ask(
             f"c{n}",
-            [E[i] for i in asked],
-            [("127.0.0.1", i) for i in kept],
-            [E[i] for i in near],
-            [E[i] for i in far],
+            [ENGINES[i] for i in asked],
+            [("127.0.0.1", i) for i in connected],
+            [ENGINES[i] for i in same_zone],
+            [ENGINES[i] for i in other_zones],
         )
         for n in range(40)
     }
-    # All of them: fronts that let go at once do not meet at one.
-    assert {endpoint.port if endpoint else None for endpoint in found} == then
+    # each of them: front nodes that release at the same time do not all ask the same engine
+    assert {endpoint.port if endpoint else None for endpoint in found} == expected
 
 
 @pytest.mark.parametrize(
-    "asked, kept, near, far, silent, then",
+    "asked, connected, same_zone, other_zones, silent, expected",
     [
         ([0], [3, 2], [1, 2], [4], {3}, 2),
         ([0], [3], [1, 2], [4], {3, 1}, 2),
@@ -305,33 +309,38 @@
         ([], [3, 2], [1], [], {3}, 2),
     ],
 )
-def test_silent_engines_are_passed_over(
-    asked: list[int], kept: list[int], near: list[int], far: list[int], silent: set[int], then: int | None
+def test_silent_engines_are_skipped(
+    asked: list[int],
+    connected: list[int],
+    same_zone: list[int],
+    other_zones: list[int],
+    silent: set[int],
+    expected: int | None,
 ) -> None:
     found = next_to_ask(
         "c",
-        [E[i] for i in asked],
-        [("127.0.0.1", i) for i in kept],
-        [E[i] for i in near],
-        [E[i] for i in far],
+        [ENGINES[i] for i in asked],
+        [("127.0.0.1", i) for i in connected],
+        [ENGINES[i] for i in same_zone],
+        [ENGINES[i] for i in other_zones],
         lambda address: address[1] in silent,
     )
-    assert (found.port if found else None) == then
+    assert (found.port if found else None) == expected
 
 
-def test_a_dead_holder_that_is_alone_is_not_asked_in_a_row(engine: Engine) -> None:
-    """Its refusals come at once: without a wait between them they use up all tries in milliseconds."""
+def test_an_unreachable_holder_without_other_engines_is_not_asked_in_a_row(engine: Engine) -> None:
+    """Its refusals arrive at once: without a wait between them they use up all tries in milliseconds."""
 
-    async def day() -> None:
-        gone = Engine()
-        dead = gone.endpoint()
-        gone.close()
-        link = link_of(dead)
-        heard = RecordingReleaseEvents()
-        link.release(dead, "a1", heard)
+    async def scenario() -> None:
+        closed_engine = Engine()
+        dead = closed_engine.endpoint()
+        closed_engine.close()
+        link = link_to(dead)
+        release_events = RecordingReleaseEvents()
+        link.release(dead, "a1", release_events)
         await asyncio.sleep(0.04)
-        assert heard.events.count("asked e") <= 2
-        await until(lambda: "failed" in heard.events)
+        assert release_events.events.count("asked e") <= 2
+        await until(lambda: "failed" in release_events.events)
         link.stop()
 
-    asyncio.run(day())
+    asyncio.run(scenario())
--- a/tests/test_release_schedule.py
+++ b/tests/test_release_schedule.py
@@ -1,4 +1,4 @@
-"""When another engine is asked to release a state, and when a state is due although its attempt is out."""
+"""When further engines are asked to release a state, and when a state with an attempt in flight is due."""
 
 from math import inf
 
@@ -15,11 +15,11 @@
 )
 from heathford.policy.held_state import RELEASE_DURATION, PendingReleases, release_time
 
-LIMIT = 0.3  # s
+LIMIT = 0.3  # s for which a state may be held
 
 
 def times_asked(limit: float) -> list[float]:
-    """When engines are asked of which none says anything."""
+    """Return when engines are asked if none of them answers."""
     now, times = 10.0, list[float]()
     schedule = ReleaseSchedule(now, limit)
     while (wait := schedule.next_round_in(now)) is not None:
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("limit", [0.06, 0.3, 1.0])
-def test_where_engines_are_silent_ever_more_are_asked_at_once(limit: float) -> None:
+def test_more_and_more_engines_are_asked_at_once_if_none_answers(limit: float) -> None:
     times = times_asked(limit)
     spacing = min(MAX_ROUND_INTERVAL, limit / ROUND_INTERVALS_PER_LIMIT)
     rounds = [0, 1, 2, 2, 3, 3, 3, 3, *8 * [4]]
@@ -39,13 +39,13 @@
     assert times[3] <= RELEASE_DURATION
 
 
-def test_nobody_is_asked_once_the_time_is_over() -> None:
+def test_no_engine_is_asked_after_the_limit() -> None:
     schedule = ReleaseSchedule(10.0, LIMIT)
     schedule.record_request(10.0)
     assert schedule.next_round_in(10.0 + LIMIT) is None
 
 
-def test_one_that_refuses_counts_as_not_asked_and_the_next_is_asked_at_once() -> None:
+def test_an_engine_that_refuses_is_not_counted_and_the_next_is_asked_at_once() -> None:
     schedule = ReleaseSchedule(10.0, LIMIT)
     for _ in range(MAX_REFUSALS):
         schedule.record_request(10.0)
@@ -57,14 +57,14 @@
 
 
 @pytest.mark.parametrize("limit", [0.05, 0.3, 0.5, 2.0])
-def test_a_state_is_due_in_time_for_a_hold_up_and_its_release(limit: float) -> None:
+def test_a_state_is_released_in_time_for_a_hold_up_and_its_release(limit: float) -> None:
     due = release_time(10.0, limit)
     assert due >= 10.0
     assert due + RELEASE_DURATION + STALL_ALLOWANCE <= 10.0 + limit + HELD_ALLOWANCE + 1e-9
 
 
-class Held:
-    """A completion whose state waits behind an attempt."""
+class HeldState:
+    """A request whose state is held while its attempt is in flight."""
 
     def __init__(self, release_at: float) -> None:
         self.release_at, self.released = release_at, False
@@ -73,33 +73,33 @@
         self.released = True
 
 
-def test_one_timer_is_out_for_the_state_that_is_due_first() -> None:
+def test_one_timer_is_set_for_the_state_that_is_due_first() -> None:
     wakes = list[float]()
     states = PendingReleases(wakes.append)
-    first, second, gone = Held(10.3), Held(10.4), Held(10.2)
-    for held in (second, first, gone):
-        states.add(held, 10.0)
+    first, second, removed = HeldState(10.3), HeldState(10.4), HeldState(10.2)
+    for state in (second, first, removed):
+        states.add(state, 10.0)
     assert wakes == pytest.approx([0.4, 0.3, 0.2])
-    states.remove(gone)
+    states.remove(removed)
     states.release_expired(10.1)
     assert len(wakes) == 3
     states.release_expired(10.2)
-    assert not gone.released and wakes[3:] == pytest.approx([0.1])
+    assert not removed.released and wakes[3:] == pytest.approx([0.1])
     states.release_expired(10.2995)  # timers may be a little early
     assert first.released and not second.released and wakes[4:] == pytest.approx([0.1005])
     states.release_expired(11.0)
     assert second.released and states.next_due == inf and len(wakes) == 5
 
 
-@pytest.mark.parametrize("connections, kept", [(1, 0), (8, 0), (9, 1), (19, 1), (100, 5)])
-def test_a_connection_is_kept_back_for_releases(connections: int, kept: int) -> None:
-    assert reserved_connections(connections) == kept
+@pytest.mark.parametrize("connections, reserved", [(1, 0), (8, 0), (9, 1), (19, 1), (100, 5)])
+def test_connections_are_reserved_for_releases(connections: int, reserved: int) -> None:
+    assert reserved_connections(connections) == reserved
 
 
-def test_late_turns_of_a_busy_machine_do_not_add_up() -> None:
-    """What happened: where eight of nine engines are silent the one that runs was asked after 0.25 s and more
-    beside a busy machine, in two of some twenty runs. Why: each turn that was 0.01 s late put off all that
-    follow. What showed it: releases confirmed after 0.252 and 0.273 s, where 0.25 are allowed."""
+def test_late_event_loop_iterations_do_not_add_up() -> None:
+    """Guards against rounds that count from a late previous one: each turn that was 0.01 s late on a busy
+    machine delayed all that follow. With eight of nine engines silent, two of some twenty runs confirmed
+    the release after 0.252 and 0.273 s, where 0.25 s are allowed."""
     late, now, times = 0.01, 0.0, []
     schedule = ReleaseSchedule(now, 0.3)
     while (wait := schedule.next_round_in(now)) is not None and schedule.asked < 9:
@@ -110,7 +110,7 @@
     assert times[8] <= 4 * MAX_ROUND_INTERVAL + late + 1e-9
 
 
-def test_a_machine_that_was_stopped_still_listens_between_two_questions() -> None:
+def test_after_a_stop_of_the_machine_answers_are_awaited_between_two_rounds() -> None:
     schedule = ReleaseSchedule(0.0, 1.0)
     schedule.record_request(0.0)
     schedule.record_request(0.4)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests as bytes: read alike however they are cut, and refused before anything is believed."""
+"""The parser of requests: independent of how bytes are split, and strict."""
 
 import pytest
 
@@ -11,12 +11,12 @@
 GET = b"GET /health/ready HTTP/1.1\r\nHost: o\r\nConnection: close\r\n\r\n"
 
 
-def head(*lines: bytes, first: bytes = b"POST / HTTP/1.1") -> bytes:
-    return b"\r\n".join([first, *lines]) + b"\r\n\r\n"
+def head(*lines: bytes, request_line: bytes = b"POST / HTTP/1.1") -> bytes:
+    return b"\r\n".join([request_line, *lines]) + b"\r\n\r\n"
 
 
 @pytest.mark.parametrize(
-    "said, method, target, body, keep",
+    "data, method, target, body, keep",
     [
         (PLAIN, "POST", "/v1/x?a=1", b"abcd", True),
         (CHUNKED, "POST", "/v1/x", b"abcd", True),
@@ -25,14 +25,14 @@
         (head(b"Content-Length: 0"), "POST", "/", b"", True),
     ],
 )
-def test_a_request_is_read_alike_wherever_it_is_cut(
-    said: bytes, method: str, target: str, body: bytes, keep: bool
+def test_a_request_does_not_depend_on_how_its_bytes_are_split(
+    data: bytes, method: str, target: str, body: bytes, keep: bool
 ) -> None:
-    for cut in range(len(said) + 1):
+    for split_at in range(len(data) + 1):
         request = Request(1024, 1024)
-        request.feed(said[:cut])
-        assert request.done == (cut == len(said))
-        request.feed(said[cut:] + b"GET /next")
+        request.feed(data[:split_at])
+        assert request.done == (split_at == len(data))
+        request.feed(data[split_at:] + b"GET /next")
         assert request.done and request.rest == b"GET /next"
         assert (request.method, request.target, bytes(request.body), request.keep_alive) == (
             method,
@@ -43,15 +43,15 @@
 
 
 @pytest.mark.parametrize(
-    "said, status",
+    "data, status",
     [
         (b"\x16\x03\x01\x02\x00", 400),
         (b"hello\r\n", 400),
         (b"GET  / HTTP/1.1\r\n\r\n", 400),
-        (head(first=b"GET x HTTP/1.1"), 400),
-        (head(first=b"GET / HTTP/1.0"), 505),
-        (head(first=b"GET / HTTP/2.0"), 505),
-        (head(first=b"GET /\xff HTTP/1.1"), 400),
+        (head(request_line=b"GET x HTTP/1.1"), 400),
+        (head(request_line=b"GET / HTTP/1.0"), 505),
+        (head(request_line=b"GET / HTTP/2.0"), 505),
+        (head(request_line=b"GET /\xff HTTP/1.1"), 400),
         (head(b"no colon"), 400),
         (head(b"A : 1"), 400),
         (head(b"A: 1", b" folded"), 400),
@@ -81,16 +81,16 @@
         (b"GET /" + b"a" * 2000, 431),
     ],
 )
-def test_what_can_be_read_in_two_ways_or_not_at_all_is_refused(said: bytes, status: int) -> None:
-    for step in (len(said), 1):
+def test_ambiguous_and_malformed_requests_are_refused(data: bytes, status: int) -> None:
+    for step in (len(data), 1):
         request = Request(1024, 1024)
         with pytest.raises(RequestError) as refused:
-            for at in range(0, len(said), step):
-                request.feed(said[at : at + step])
+            for at in range(0, len(data), step):
+                request.feed(data[at : at + step])
         assert refused.value.status == status
 
 
-def test_a_body_that_waits_to_be_asked_for() -> None:
+def test_a_client_that_awaits_100_continue() -> None:
     request = Request(1024, 1024)
     request.feed(head(b"Expect: 100-continue", b"Content-Length: 2"))
     assert request.expects_continue and not request.done
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -1,4 +1,4 @@
-"""Long prompts over links that are slow, slow down, or are cut in the middle."""
+"""Long prompts over network links that are slow, become slow, or break in the middle."""
 
 import asyncio
 import socket
@@ -15,32 +15,32 @@
 from heathford.standin.platform import GOOD, READ
 
 MEGABYTE = 1_000_000  # bytes
-BUFFER = 16_384  # bytes that an engine's socket holds
-TURN = 0.002  # s between two reads
-BUDGET = 4.0  # s that the client waits
-SLACK = 0.15  # s by which the deadline told may be more than what is left
-CUT_SEEN_WITHIN = 0.3  # s after which a send that goes nowhere is given up
+BUFFER = 16_384  # bytes of an engine's receive buffer
+READ_INTERVAL = 0.002  # s
+BUDGET = 4.0  # s until the client gives up
+SLACK = 0.15  # s by which the stated deadline may exceed the time left
+STALL_LIMIT = 0.3  # s after which a send without progress is given up
 
-Rate = Callable[[int], float]  # bytes a second, by how many have come on the connection
+Rate = Callable[[int], float]  # bytes a second, by the number received on the connection
 
 
 @dataclass
 class Arrival:
-    """A request that came whole: when, and the deadline that it tells, both s on the test's clock."""
+    """A complete request: when it arrived, and the deadline that it states, in s on the test's clock."""
 
     engine: str
     at: float
-    told: float
+    deadline: float
 
 
 class PacedEngine:
-    """Reads each of its connections at a rate, and answers what has come whole."""
+    """Reads each of its connections at a given rate, and answers complete requests."""
 
     def __init__(self, engine: RawEngine, rate: Rate) -> None:
         self.engine, self.rate = engine, rate
         self.arrivals: list[Arrival] = []
-        self.begun: list[float] = []  # when the first byte of each attempt was read
-        self.ended: list[float] = []  # when a connection ended in the middle of one
+        self.started: list[float] = []  # when the first byte of each attempt was read
+        self.ended: list[float] = []  # when a connection closed in the middle of an attempt
         self.tasks: list[asyncio.Task[None]] = []
         engine.listener.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, BUFFER)
         engine.listener.setblocking(False)
@@ -53,53 +53,53 @@
             self.tasks.append(asyncio.create_task(self.serve(sock)))
 
     async def serve(self, sock: socket.socket) -> None:
-        """One request after the other on a connection."""
-        loop, got = asyncio.get_running_loop(), b""
+        """Serve the requests of one connection in turn."""
+        loop, data = asyncio.get_running_loop(), b""
         while True:
-            budget, came, looked_at = 0.0, 0, monotonic()
-            while not is_whole(got):
+            allowance, received, checked_at = 0.0, 0, monotonic()
+            while not is_whole(data):
                 now = monotonic()
-                budget, looked_at = min(budget + (now - looked_at) * self.rate(came), BUFFER), now
-                if budget < 1:
-                    await asyncio.sleep(TURN)
+                allowance, checked_at = min(allowance + (now - checked_at) * self.rate(received), BUFFER), now
+                if allowance < 1:
+                    await asyncio.sleep(READ_INTERVAL)
                     continue
                 try:
-                    part = await loop.sock_recv(sock, int(budget))
+                    part = await loop.sock_recv(sock, int(allowance))
                 except OSError:
                     part = b""
                 if not part:
-                    if came:
+                    if received:
                         self.ended.append(monotonic())
                     sock.close()
                     return
-                if not came and part.startswith(b"POST"):
-                    self.begun.append(monotonic())
-                budget, came, got = budget - len(part), came + len(part), got + part
-                await asyncio.sleep(TURN)
-            await loop.sock_sendall(sock, self.answer(got))
-            got = b""
-
-    def answer(self, got: bytes) -> bytes:
-        if got.startswith(b"DELETE"):
+                if not received and part.startswith(b"POST"):
+                    self.started.append(monotonic())
+                allowance, received, data = allowance - len(part), received + len(part), data + part
+                await asyncio.sleep(READ_INTERVAL)
+            await loop.sock_sendall(sock, self.answer(data))
+            data = b""
+
+    def answer(self, data: bytes) -> bytes:
+        if data.startswith(b"DELETE"):
             return b"HTTP/1.1 204 No Content\r\n\r\n"
-        told = int(got.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0]) / 1000
-        self.arrivals.append(Arrival(self.engine.uid, monotonic(), monotonic() + told))
+        budget = int(data.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0]) / 1000
+        self.arrivals.append(Arrival(self.engine.uid, monotonic(), monotonic() + budget))
         return READ if self.engine.model == "m0" else GOOD
 
 
-def is_whole(got: bytes) -> bool:
-    head, end, body = got.partition(b"\r\n\r\n")
+def is_whole(data: bytes) -> bool:
+    head, end, body = data.partition(b"\r\n\r\n")
     length = head.partition(b"Content-Length: ")[2].split(b"\r\n")[0]
     return bool(end) and len(body) >= int(length or b"0")
 
 
 def steady(rate: float) -> Rate:
-    return lambda came: rate
+    return lambda received: rate
 
 
 @asynccontextmanager
-async def paced(play: FrontSetup, *rates: Rate) -> AsyncIterator[list[PacedEngine]]:
-    engines = [PacedEngine(engine, rate) for engine, rate in zip(play.engines, rates, strict=True)]
+async def paced(setup: FrontSetup, *rates: Rate) -> AsyncIterator[list[PacedEngine]]:
+    engines = [PacedEngine(engine, rate) for engine, rate in zip(setup.engines, rates, strict=True)]
     accepting = [asyncio.create_task(engine.accept()) for engine in engines]
     try:
         yield engines
@@ -108,9 +108,11 @@
             task.cancel()
 
 
-async def ask(play: FrontSetup, name: str, size: int, request_class: str = "chat") -> tuple[RawClient, float]:
-    """The client, and when it gives up."""
-    client = play.client()
+async def ask(
+    setup: FrontSetup, name: str, size: int, request_class: str = "chat"
+) -> tuple[RawClient, float]:
+    """Send a request, and return its client and when the client gives up."""
+    client = setup.client()
     client.sock.setblocking(False)
     gives_up_at = monotonic() + BUDGET
     await asyncio.get_running_loop().sock_sendall(
@@ -120,14 +122,14 @@
 
 
 def check_deadlines(engines: list[PacedEngine], gives_up_at: float) -> None:
-    """Each deadline told, as it counts from the last byte, ends with the client's own."""
-    late = [a for engine in engines for a in engine.arrivals if a.told > gives_up_at + SLACK]
+    """Check that no stated deadline, counted from the last byte, ends after the client's."""
+    late = [a for engine in engines for a in engine.arrivals if a.deadline > gives_up_at + SLACK]
     assert not late, late
 
 
-def combined(told: dict[str, Any]) -> None:
-    """Decode engines are combined ones instead."""
-    told["familyInfo"]["roleByKind"] = ["read", "both"]
+def combined(configuration: dict[str, Any]) -> None:
+    """Make the decode engines combined ones."""
+    configuration["familyInfo"]["roleByKind"] = ["read", "both"]
 
 
 @pytest.mark.parametrize("rate", [1, 2, 4])
@@ -136,15 +138,15 @@
 def test_a_long_prompt_is_served_over_a_slow_link(
     tmp_path: Path, rate: int, size: int, request_class: str
 ) -> None:
-    """Guards against slow taken for cut: no engine ever had such a prompt whole."""
+    """Guards against slow links taken for broken ones: no engine ever received such a prompt completely."""
 
-    async def day(play: FrontSetup) -> None:
-        async with paced(play, *4 * [steady(rate * MEGABYTE)]) as engines:
-            client, gives_up_at = await ask(play, "c0", size, request_class)
+    async def scenario(setup: FrontSetup) -> None:
+        async with paced(setup, *4 * [steady(rate * MEGABYTE)]) as engines:
+            client, gives_up_at = await ask(setup, "c0", size, request_class)
             assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
 
-    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, scenario, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 @pytest.mark.parametrize(
@@ -153,80 +155,82 @@
 def test_a_long_prompt_is_served_by_a_combined_engine_behind_a_slow_link(
     tmp_path: Path, rate: float, size: int
 ) -> None:
-    """Guards against the same where no state sets a limit: also over links that are slower still."""
+    """Guards against the same where no held state sets a limit, also over still slower links."""
 
-    async def day(play: FrontSetup) -> None:
-        async with paced(play, *2 * [steady(rate * MEGABYTE)]) as engines:
-            client, gives_up_at = await ask(play, "c0", size)
+    async def scenario(setup: FrontSetup) -> None:
+        async with paced(setup, *2 * [steady(rate * MEGABYTE)]) as engines:
+            client, gives_up_at = await ask(setup, "c0", size)
             assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
 
-    run_scenario(tmp_path, day, decode("c"), decode("c2"), setting=combined)
+    run_scenario(tmp_path, scenario, decode("c"), decode("c2"), setting=combined)
 
 
 @pytest.mark.parametrize("slow", [0, 1], ids=["prefill", "decode"])
 def test_one_slow_link_among_fast_ones_costs_no_request(tmp_path: Path, slow: int) -> None:
-    """Guards against a slow link that all requests come to again, and against one that closes others."""
-    rates = [steady((0.1 if place == slow else 40) * MEGABYTE) for place in range(4)]
+    """Guards against a slow link to which all requests return, and against one that rules out the others."""
+    rates = [steady((0.1 if index == slow else 40) * MEGABYTE) for index in range(4)]
 
-    async def day(play: FrontSetup) -> None:
-        async with paced(play, *rates) as engines:
+    async def scenario(setup: FrontSetup) -> None:
+        async with paced(setup, *rates) as engines:
             for number in range(6):
-                client, gives_up_at = await ask(play, f"c{number}", 250_000)
+                client, gives_up_at = await ask(setup, f"c{number}", 250_000)
                 assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
 
-    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, scenario, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
-def test_a_link_that_turns_slow_half_way(tmp_path: Path) -> None:
-    """Guards against a deadline that was right for the rate known before."""
+def test_a_link_that_becomes_slow_half_way(tmp_path: Path) -> None:
+    """Guards against a deadline that was computed from an earlier rate."""
 
-    def turns_slow(came: int) -> float:
-        return 8 * MEGABYTE if came < 120_000 else 0.7 * MEGABYTE
+    def becomes_slow(received: int) -> float:
+        return 8 * MEGABYTE if received < 120_000 else 0.7 * MEGABYTE
 
-    async def day(play: FrontSetup) -> None:
-        async with paced(play, *4 * [turns_slow]) as engines:
+    async def scenario(setup: FrontSetup) -> None:
+        async with paced(setup, *4 * [becomes_slow]) as engines:
             for number in range(2):
-                client, gives_up_at = await ask(play, f"c{number}", 250_000)
+                client, gives_up_at = await ask(setup, f"c{number}", 250_000)
                 assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
                 check_deadlines(engines, gives_up_at)
 
-    run_scenario(tmp_path, day, prefill(), decode(), prefill("r2"), decode("w2"))
+    run_scenario(tmp_path, scenario, prefill(), decode(), prefill("r2"), decode("w2"))
 
 
 @pytest.mark.parametrize("place", [0, 1], ids=["prefill", "decode"])
-def test_a_cut_in_the_middle_of_a_send_ends_it_soon(tmp_path: Path, place: int) -> None:
-    """Guards against a send that counts as slow for good."""
-
-    def cut(came: int) -> float:
-        return 8 * MEGABYTE if came < 100_000 else 0.0
-
-    cut_ones = [play_place % 2 == place for play_place in range(2)]
-
-    async def day(play: FrontSetup) -> None:
-        rates = [cut if is_cut else steady(8 * MEGABYTE) for is_cut in cut_ones]
-        async with paced(play, *rates) as engines:
-            _, gives_up_at = await ask(play, "c0", 250_000, "booking")
-            await until(lambda: bool(engines[place].begun), "the attempt")
-            begun = engines[place].begun[0]
-            await until(lambda: len(play.node.link.outcomes) > place, "its end")
-            assert monotonic() < begun + CUT_SEEN_WITHIN
+def test_a_send_over_a_broken_link_ends_soon(tmp_path: Path, place: int) -> None:
+    """Guards against a stalled send that counts as slow for good."""
+
+    def breaks(received: int) -> float:
+        return 8 * MEGABYTE if received < 100_000 else 0.0
+
+    broken_links = [index % 2 == place for index in range(2)]
+
+    async def scenario(setup: FrontSetup) -> None:
+        rates = [breaks if is_broken else steady(8 * MEGABYTE) for is_broken in broken_links]
+        async with paced(setup, *rates) as engines:
+            _, gives_up_at = await ask(setup, "c0", 250_000, "booking")
+            await until(lambda: bool(engines[place].started), "the attempt")
+            started_at = engines[place].started[0]
+            await until(lambda: len(setup.node.link.outcomes) > place, "its end")
+            assert monotonic() < started_at + STALL_LIMIT
             assert not engines[place].arrivals
 
-    run_scenario(tmp_path, day, prefill(), decode())
+    run_scenario(tmp_path, scenario, prefill(), decode())
 
 
-def test_what_no_link_can_carry_in_time_is_answered_after_few_tries(tmp_path: Path) -> None:
-    """Guards against as many tries as there are engines; the client is told why, and not to come again."""
+def test_a_prompt_that_no_link_can_carry_in_time_is_answered_after_few_attempts(tmp_path: Path) -> None:
+    """Guards against one attempt per engine; the answer states the reason and asks for no repeat."""
 
-    async def day(play: FrontSetup) -> None:
-        async with paced(play, *8 * [steady(0.03 * MEGABYTE)]) as engines:
-            client, gives_up_at = await ask(play, "c0", 250_000)
+    async def scenario(setup: FrontSetup) -> None:
+        async with paced(setup, *8 * [steady(0.03 * MEGABYTE)]) as engines:
+            client, gives_up_at = await ask(setup, "c0", 250_000)
             assert await client.wait_for_answers(1) == [503] and monotonic() < gives_up_at - BUDGET / 2
             assert b"its prompt can't reach an engine in its time" in client.read_available()
             assert b"Retry-After" not in client.read_available()
-            assert sum(len(engine.begun) for engine in engines) <= 2
+            assert sum(len(engine.started) for engine in engines) <= 2
             assert not any(engine.arrivals for engine in engines)
 
-    run_scenario(tmp_path, day, *[prefill(f"r{n}") for n in range(4)], *[decode(f"w{n}") for n in range(4)])
+    run_scenario(
+        tmp_path, scenario, *[prefill(f"r{n}") for n in range(4)], *[decode(f"w{n}") for n in range(4)]
+    )
