--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -97,7 +97,7 @@
         return passed_on
 
     @property
-    def keep(self) -> bool:
+    def keep_alive(self) -> bool:
         """Whether the connection may carry further requests."""
         return self.response.keep_alive
 
--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -201,7 +201,7 @@
                 self.set_timer(STREAM_SILENCE_LIMIT, self.check_stream_silence)
             self.events.tokens(events)
         if done:
-            self.end(outcome, detail, keep_alive=self.answer.keep)
+            self.end(outcome, detail, keep_alive=self.answer.keep_alive)
         elif self.endpoint.role is Role.PREFILL and not self.prefill_answer_started:
             self.on_prefill_answer_start()
 
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -101,7 +101,7 @@
         descriptors = Descriptors.share(
             int(configuration["limits"].get("sockets") or resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         )
-        self.instances = EndpointList(
+        self.endpoint_list = EndpointList(
             {
                 kind: (index, engine_kind.role)
                 for index, (kind, engine_kind) in enumerate(
@@ -116,7 +116,7 @@
             router_settings["pin_limit"],
             limits["connIdleNs"] / NS_PER_SECOND,
             descriptors.engines,
-            lambda: self.instances.serving_endpoints(router_settings["zone"]),
+            lambda: self.endpoint_list.serving_endpoints(router_settings["zone"]),
         )
         self.core = Core(
             self.loop,
@@ -133,7 +133,7 @@
             descriptors.clients,
         )
         self.core.on_endpoint_list_failure = self.request_list_later
-        self.watch = DiscoveryClient(*discovery, self.instances, self.on_list_change)
+        self.watch = DiscoveryClient(*discovery, self.endpoint_list, self.on_list_change)
         self.ending = asyncio.Event()
         self.known_list = configuration.get("known")
         self.server: asyncio.Server | None = None
@@ -145,7 +145,7 @@
         """Load the endpoint list and open the listening socket, unless told to end. Raises StartError."""
         if isinstance(self.known_list, dict):
             try:
-                change = self.instances.apply_object(self.known_list, self.loop.time(), time.time())
+                change = self.endpoint_list.apply_object(self.known_list, self.loop.time(), time.time())
                 if change:
                     self.core.apply_endpoint_list(*change)
             except MalformedMessageError as exc:
@@ -155,7 +155,7 @@
         # first moment: without waiting, first attempts could go to engines that drain or are removed. While
         # the agent is silent a start takes longer, and the configuration's list is all there is.
         if not await self.watch.wait_for_first_list(FIRST_LIST_TIMEOUT):
-            log.warning("no endpoint list from discovery yet", known=len(self.instances.entries))
+            log.warning("no endpoint list from discovery yet", known=len(self.endpoint_list.entries))
         sock = await self.open_listening_socket()
         if sock is None:
             return
@@ -234,7 +234,7 @@
             unreleased=self.link.failed_releases,
             engines=len(router.engines),
             conns=self.link.pools.open,
-            version=self.instances.version,
+            version=self.endpoint_list.version,
             lag=round(self.lag, 3),
             held=self.core.held_state_summary(),
             violations={rule.name: n for rule, n in self.core.gate.violations.items()},
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -75,7 +75,7 @@
             self.router.update_engine(number, number // 100, kind, number // 10, health, 1.0, started)
         self.router.end_list_update()
 
-    def take(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> RequestState:
+    def submit(self, prompt: int = 5000, session: str = "s", shared: str = "", **more: Any) -> RequestState:
         """Have the router accept a request and decide. more: other arguments of Router.accept."""
         fields: dict[str, Any] = dict(
             workload=0,
@@ -89,7 +89,7 @@
         self.router.decide()
         return request
 
-    def end(
+    def end_attempt(
         self,
         request: RequestState,
         outcome: Outcome,
@@ -105,7 +105,7 @@
         request.ended(seq, outcome, after, closed, detail, load)
         self.router.decide()
 
-    def first(self, request: RequestState, after: float = 0.1) -> None:
+    def receive_first_token(self, request: RequestState, after: float = 0.1) -> None:
         """Deliver the first token of the request's last attempt. after: s that pass before that."""
         self.now += after
         request.first_token(len(request.attempts) - 1, after)
@@ -118,7 +118,7 @@
             self.now += 0.02
             self.router.decide()
 
-    def asked(self) -> list[tuple[Any, ...]]:
+    def new_actions(self) -> list[tuple[Any, ...]]:
         """Return the actions since the last call, without wake-ups."""
         actions, self.actions = [d for d in self.actions if d[0] != "wake"], []
         return actions
@@ -343,14 +343,14 @@
         )
         self.loop.turn()
 
-    def take(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[RecordingClient, AcceptedRequest]:
+    def submit(self, prompt: int = 5000, timeout: float = 4.0) -> tuple[RecordingClient, AcceptedRequest]:
         """Have the core accept a request. prompt: tokens; timeout: s."""
         client = RecordingClient()
         accepted_request = self.core.accept(client, 0, 0, "s", "", prompt, 0, 100, timeout, {"prompt": "x"})
         self.loop.turn()
         return client, accepted_request
 
-    def read(self) -> None:
+    def complete_prefill(self) -> None:
         """End the last attempt as a successful prefill."""
         attempt = self.link.attempts[-1]
         attempt.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"remote_request_id": attempt.name}})
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -286,16 +286,16 @@
     *engines: RawEngine,
     name: str = "n0",
     sockets: int = 256,
-    setting: Callable[[dict[str, Any]], None] | None = None,
+    change_settings: Callable[[dict[str, Any]], None] | None = None,
     **setting_options: Any,
 ) -> AsyncIterator[FrontSetup]:
-    """Start a front node. setting: changes its settings; other options go to `settings`."""
+    """Start a front node. change_settings: changes its settings; other options go to `settings`."""
     agent = Agent()
     agent.engines = list(engines)  # type: ignore[arg-type]
     address = await agent.open()
     node_settings = settings(**setting_options)
-    if setting:
-        setting(node_settings)
+    if change_settings:
+        change_settings(node_settings)
     path = folder / f"{name}.json"
     path.write_bytes(
         orjson.dumps(
--- a/tests/test_core.py
+++ b/tests/test_core.py
@@ -19,8 +19,8 @@
 def streaming_request(make_harness: MakeHarness, **more: Any) -> tuple[CoreHarness, Any, Any]:
     harness = make_harness(**more)
     harness.engines(*FLEET)
-    client, request = harness.take()
-    harness.read()
+    client, request = harness.submit()
+    harness.complete_prefill()
     attempt = harness.link.attempts[-1]
     assert attempt.kv == {"remote_request_id": harness.link.attempts[0].name}
     attempt.events.first_token()
@@ -62,8 +62,8 @@
 def test_a_first_token_and_a_time_out_in_one_turn(core_harness: MakeHarness) -> None:
     harness = core_harness()
     harness.engines(*FLEET)
-    client, _ = harness.take()
-    harness.read()
+    client, _ = harness.submit()
+    harness.complete_prefill()
     attempt = harness.link.attempts[-1]
     attempt.events.first_token()
     attempt.events.tokens("a")
@@ -99,12 +99,12 @@
 def test_a_disconnected_client_frees_all_that_is_held(core_harness: MakeHarness, when: str) -> None:
     harness = core_harness(cold_multiple=0.0)
     harness.engines(*FLEET)
-    client, request = harness.take()
+    client, request = harness.submit()
     if when == "between":
         # The decode engines are cold and get no attempt, so the state waits.
         harness.engines((12, 1), (13, 1), started=harness.loop.now)
     if when != "reading":
-        harness.read()
+        harness.complete_prefill()
     if when == "streaming":
         harness.link.attempts[-1].events.first_token()
         harness.loop.turn()
@@ -123,8 +123,8 @@
 ) -> None:
     harness = core_harness(effect)
     harness.engines(*FLEET)
-    client, _ = harness.take(timeout=4.0)
-    harness.read()
+    client, _ = harness.submit(timeout=4.0)
+    harness.complete_prefill()
     for _ in range(400):  # each attempt times out
         harness.loop.pass_time(0.01)
         for attempt in [o for o in harness.link.attempts if not o.cancelled and not o.events.over]:  # type: ignore[attr-defined]
@@ -140,7 +140,7 @@
     harness = core_harness()
     harness.engines(*FLEET)
     monkeypatch.setattr(harness.core.router, "decide", lambda: None)
-    client, _ = harness.take(timeout=2.0)
+    client, _ = harness.submit(timeout=2.0)
     harness.loop.pass_time(2.0)
     assert (
         client.finals == ["aborted: out of time"] and not harness.core.live and harness.core.tally.late == 1
@@ -163,10 +163,10 @@
         return original(self, *args)
 
     monkeypatch.setattr(owner, where, raise_for_victim)
-    clients = [harness.take()[0] for _ in range(2)]
-    faulty_client, request = harness.take()
+    clients = [harness.submit()[0] for _ in range(2)]
+    faulty_client, request = harness.submit()
     victim.append(request.routed_request)
-    clients += [harness.take()[0] for _ in range(2)]
+    clients += [harness.submit()[0] for _ in range(2)]
     harness.loop.pass_time(0.2)
     while any(not c.finals for c in clients):
         for attempt in [o for o in harness.link.attempts if not o.events.over]:  # type: ignore[attr-defined]
@@ -189,7 +189,7 @@
 def test_a_prefill_with_an_unknown_result_is_released_by_name(core_harness: MakeHarness) -> None:
     harness = core_harness()
     harness.engines(*FLEET)
-    harness.take()
+    harness.submit()
     harness.link.attempts[0].events.ended(Outcome.TIMED_OUT, 0, {}, {})
     assert harness.link.released == ["cmpl-f-1.0"]
 
@@ -210,7 +210,7 @@
     harness = core_harness()
     harness.engines(*FLEET)
     harness.link.send = lambda *rest: SilentCall()  # type: ignore[assignment, method-assign]
-    client, request = harness.take()
+    client, request = harness.submit()
     harness.loop.pass_time(10.0)
     assert client.finals == ["aborted: out of time"]
     request.attempts[0].ended(Outcome.CANCELLED, 0, {}, {})
@@ -340,7 +340,7 @@
     """It may wait for a connection or a release. Only running attempts are subject to may_cancel."""
     harness = core_harness(may_cancel=may_cancel)
     harness.engines(*FLEET)
-    _, request = harness.take()
+    _, request = harness.submit()
     harness.link.attempts[-1].begun = False
     request.client_left()
     assert harness.link.attempts[-1].withdrawn
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -42,7 +42,7 @@
     harness.engines((1, 0), (2, 1))
     raised = raise_in(monkeypatch, Router, "send")
     monkeypatch.setattr(harness.core, "culprit", lambda problem: None)
-    clients = [harness.take()[0] for _ in range(2)]
+    clients = [harness.submit()[0] for _ in range(2)]
     harness.loop.pass_time(0.2)
     assert raised and len(harness.link.attempts) == 2 and not any(client.finals for client in clients)
 
@@ -53,7 +53,7 @@
     harness = core_harness()
     harness.engines((1, 0), (2, 1))
     raised = raise_in(monkeypatch, harness.link, "send")
-    client, accepted_request = harness.take()
+    client, accepted_request = harness.submit()
     harness.loop.pass_time(0.2)
     assert raised and accepted_request.in_flight is accepted_request.attempts[1] and not client.finals
     assert sum(len(engine.in_flight) for engine in harness.core.router.engines.values()) == 1
@@ -65,7 +65,7 @@
 ) -> None:
     harness = core_harness(may_cancel=False)
     harness.engines((1, 0), (2, 1))
-    client, accepted_request = harness.take()
+    client, accepted_request = harness.submit()
     accepted_request.abandon("a fault")
     harness.loop.turn()
     assert client.finals == ["aborted: a fault"] and not harness.core.live
@@ -89,7 +89,7 @@
     )
     harness.loop.turn()
     assert harness.core.tally.faults == 1 and harness.core.router.engines[1].health is Health.DRAINING
-    harness.take()
+    harness.submit()
     assert not harness.link.attempts
 
 
@@ -102,7 +102,7 @@
     harness.core.on_endpoint_list_failure = lambda: requested.append(None)
     raised = raise_in(monkeypatch, harness.core.router, "end_list_update")
     harness.engines((1, 0), (4, 0), health=Health.DRAINING)
-    harness.take()
+    harness.submit()
     harness.loop.pass_time(0.5)
     assert raised and requested and not harness.link.attempts
 
--- a/tests/test_gate.py
+++ b/tests/test_gate.py
@@ -206,8 +206,8 @@
     harness = CoreHarness()
     harness.link.confirms = False
     harness.engines((10, 0), (12, 1))
-    harness.take()
-    harness.read()
+    harness.submit()
+    harness.complete_prefill()
     harness.loop.pass_time(seconds)
     assert harness.core.gate.violations[Rule.HELD] == broken
     assert no_violations == ["HELD: cmpl-f-1: held for 0.600 s, releasing"] * broken
@@ -217,8 +217,8 @@
 def test_the_history_records_the_events_of_a_request() -> None:
     harness = CoreHarness()
     harness.engines((10, 0), (12, 1))
-    harness.take()
-    harness.read()
+    harness.submit()
+    harness.complete_prefill()
     harness.link.attempts[-1].events.first_token()
     harness.link.attempts[-1].events.ended(Outcome.FINISHED, 0, {}, {})
     harness.loop.turn()
--- a/tests/test_history_of_held_state.py
+++ b/tests/test_history_of_held_state.py
@@ -16,8 +16,8 @@
     harness = core_harness(effect)
     harness.link.confirms = False
     harness.engines((10, 0), (12, 1), (13, 1))
-    _, request = harness.take()
-    harness.read()
+    _, request = harness.submit()
+    harness.complete_prefill()
     return harness, request.name
 
 
@@ -58,7 +58,7 @@
     harness = core_harness()
     harness.link.confirms = False
     harness.engines((10, 0), (12, 1))
-    _, request = harness.take()
+    _, request = harness.submit()
     harness.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
     harness.loop.turn()
     assert "release: its prefill attempt ended unseen" in harness.core.history.event_lines(request.name)
@@ -79,6 +79,6 @@
 def test_a_rate_limited_answer_is_recorded_with_its_reason(core_harness: Callable[..., CoreHarness]) -> None:
     harness = core_harness()
     harness.engines((10, 0))
-    client, request = harness.take()
+    client, request = harness.submit()
     assert client.finals == ["rate-limited"]
     assert harness.core.history.event_lines(request.name)[-1] == "rate_limited: no listed engine may take it"
--- a/tests/test_idempotency_key.py
+++ b/tests/test_idempotency_key.py
@@ -56,7 +56,7 @@
         assert (await engine.wait_for_request(engine.posts)).header("Idempotency-Key") == KEY
         releases.cancel()
 
-    run_scenario(tmp_path, scenario, prefill(), decode(), decode("w2"), setting=set_guarded)
+    run_scenario(tmp_path, scenario, prefill(), decode(), decode("w2"), change_settings=set_guarded)
 
 
 def test_without_a_key_none_is_sent(tmp_path: Path) -> None:
@@ -86,4 +86,4 @@
         client.send(with_header("c0", line))
         assert await client.wait_for_answers(1) == [400] and not prefill_engine.posts
 
-    run_scenario(tmp_path, scenario, setting=set_guarded)
+    run_scenario(tmp_path, scenario, change_settings=set_guarded)
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -43,10 +43,10 @@
         if place:
             (await setup.engines[0].wait_for_request()).sock.sendall(READ)
         await until(lambda: connections.waiting > 0, "a connection attempt")
-        version = setup.node.instances.version
+        version = setup.node.endpoint_list.version
         engine.state = state
         setup.publish_entries(engine)
-        await until(lambda: setup.node.instances.version > version, "the drain in the endpoint list")
+        await until(lambda: setup.node.endpoint_list.version > version, "the drain in the endpoint list")
         connections.released.set()
         await run_loop_turns(200)
         assert engine.posts == 0
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -48,7 +48,7 @@
         try:
             for offset in range(0, len(data), part_size):
                 received += answer.feed(data[offset : offset + part_size])
-            assert not answer.response.done and not answer.keep
+            assert not answer.response.done and not answer.keep_alive
             answer.response.feed_eof()
             result: object = answer.outcome()
         except MalformedMessageError:
@@ -70,7 +70,7 @@
 def test_connection_header_decides_about_reuse(field: str, keep: bool) -> None:
     answer = Answer(is_prefill=False)
     answer.feed(f"HTTP/1.1 500 X\r\nConnection: {field}\r\nContent-Length: 0\r\n\r\n".encode())
-    assert answer.response.done and answer.keep == keep
+    assert answer.response.done and answer.keep_alive == keep
 
 
 @pytest.mark.parametrize(
@@ -124,10 +124,10 @@
 def test_connection_with_a_second_answer_is_not_reused() -> None:
     answer = Answer(is_prefill=False)
     assert answer.feed(GOOD + GOOD) == ALL
-    assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep
+    assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep_alive
     next_answer = Answer(is_prefill=False)
     next_answer.feed(GOOD)
-    assert next_answer.keep
+    assert next_answer.keep_alive
 
 
 def test_unfinished_chunk_is_limited() -> None:
--- a/tests/test_policy.py
+++ b/tests/test_policy.py
@@ -45,8 +45,8 @@
 ) -> None:
     harness = router_harness()
     harness.engines(*FLEET)
-    harness.take(prompt)
-    [(_, engine)] = harness.asked()
+    harness.submit(prompt)
+    [(_, engine)] = harness.new_actions()
     assert (engine == 14) == (role == "combined")
 
 
@@ -68,20 +68,20 @@
         harness.router.combined_fit.add(
             combined_features(tokens, 0), 0.05 + combined_slope * tokens / 1000, harness.now - idle
         )
-    harness.take(3000)
-    [(_, engine)] = harness.asked()
+    harness.submit(3000)
+    [(_, engine)] = harness.new_actions()
     assert (engine in (10, 11)) == prefill_engine
 
 
 def test_a_session_stays_on_its_combined_engine_and_cached_tokens_count(router_harness: New) -> None:
     harness = router_harness()
     harness.engines(*FLEET, (15, 2), (16, 2))
-    first = harness.take(1900)
-    [(_, engine)] = harness.asked()
-    harness.first(first)
-    harness.end(first, Outcome.FINISHED, closed=True)
-    harness.take(3500)  # 1,600 of them not cached
-    assert harness.asked() == [("send", engine)]
+    first = harness.submit(1900)
+    [(_, engine)] = harness.new_actions()
+    harness.receive_first_token(first)
+    harness.end_attempt(first, Outcome.FINISHED, closed=True)
+    harness.submit(3500)  # 1,600 of them not cached
+    assert harness.new_actions() == [("send", engine)]
 
 
 def test_without_memory_short_prompts_go_to_prefill_engines_and_wait_at_their_limit(
@@ -89,14 +89,14 @@
 ) -> None:
     harness = router_harness()
     harness.engines(*FLEET)
-    first = harness.take(1500)
-    harness.end(first, Outcome.FULL, memory=0.99)
-    assert next(e for _, e in harness.asked()) == 14
+    first = harness.submit(1500)
+    harness.end_attempt(first, Outcome.FULL, memory=0.99)
+    assert next(e for _, e in harness.new_actions()) == 14
     for _ in range(3):
-        harness.take(1500)
-    assert [e for _, e in harness.asked() if e > 11] == []
-    harness.take(1500)
-    assert len(harness.router.waiting) == 1 and harness.asked() == []
+        harness.submit(1500)
+    assert [e for _, e in harness.new_actions() if e > 11] == []
+    harness.submit(1500)
+    assert len(harness.router.waiting) == 1 and harness.new_actions() == []
 
 
 @pytest.mark.parametrize(
@@ -117,11 +117,11 @@
 ) -> None:
     harness = router_harness(effect=effect, group=group)
     harness.engines(*FLEET)
-    request = harness.take()
-    harness.end(request, Outcome.PREFILLED)
-    harness.asked()
-    harness.end(request, outcome, detail=detail)
-    asked = harness.asked()
+    request = harness.submit()
+    harness.end_attempt(request, Outcome.PREFILLED)
+    harness.new_actions()
+    harness.end_attempt(request, outcome, detail=detail)
+    asked = harness.new_actions()
     assert asked[-1][0] == then
     assert (("release",) in asked) >= (detail == 1)  # a state that the engine could not fetch is still pinned
     assert (then == "send") or ("release",) in asked
@@ -142,13 +142,13 @@
 ) -> None:
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=group)
     harness.engines((10, 0), (12, 1))
-    request = harness.take()
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit()
+    harness.end_attempt(request, Outcome.PREFILLED)
     harness.engines((12, 1), health=Health.DRAINING)
     harness.engines((other_engine, 1))
-    harness.asked()
-    harness.end(request, Outcome.ERROR, after=later)
-    assert (("send", other_engine) not in harness.asked()) == stays_in_group
+    harness.new_actions()
+    harness.end_attempt(request, Outcome.ERROR, after=later)
+    assert (("send", other_engine) not in harness.new_actions()) == stays_in_group
 
 
 @pytest.mark.parametrize(
@@ -164,16 +164,16 @@
 def test_no_state_stays_pinned(router_harness: New, how: str, limit: float, limited: bool) -> None:
     harness = router_harness(pin_limit=limit, cold_from=0.0)
     harness.engines((10, 0), (12, 1))
-    request = harness.take(deadline=harness.now + (0.2 if how == "out of time" else 5.0))
+    request = harness.submit(deadline=harness.now + (0.2 if how == "out of time" else 5.0))
     if how == "no decode engine":
         harness.engines((12, 1), health=Health.DRAINING)
     else:
         harness.engines((12, 1), started=harness.now)  # cold, with a budget of nothing
-    harness.end(request, Outcome.PREFILLED)
+    harness.end_attempt(request, Outcome.PREFILLED)
     if how == "client leaves":
         request.client_left()
     harness.wait(limit - 0.02)
-    asked = harness.asked()
+    asked = harness.new_actions()
     assert ("release",) in asked and (("rate_limit",) in asked) == limited
 
 
@@ -187,9 +187,9 @@
     """Guards against silent engines that each take half of a deadline of five latency targets."""
     harness = router_harness(effect=effect)
     harness.engines(*FLEET)
-    request = harness.take(deadline=harness.now + left)
+    request = harness.submit(deadline=harness.now + left)
     assert harness.attempt_timeout == pytest.approx(prefill_timeout)
-    harness.end(request, Outcome.PREFILLED)
+    harness.end_attempt(request, Outcome.PREFILLED)
     assert harness.attempt_timeout == pytest.approx(decode_timeout)
 
 
@@ -201,23 +201,23 @@
 
     def answered(count: int) -> None:
         for n in range(count):
-            request = harness.take(session=f"{n}", deadline=harness.now + 20.0)
-            harness.end(request, Outcome.PREFILLED, after=0.01)
-            harness.first(request, after=0.01)
-            harness.end(request, Outcome.FINISHED, after=0.01, closed=True)
+            request = harness.submit(session=f"{n}", deadline=harness.now + 20.0)
+            harness.end_attempt(request, Outcome.PREFILLED, after=0.01)
+            harness.receive_first_token(request, after=0.01)
+            harness.end_attempt(request, Outcome.FINISHED, after=0.01, closed=True)
 
     answered(10)
     waits = []
     for n in range(5):
-        request = harness.take(session=f"x{n}", deadline=harness.now + 20.0)
+        request = harness.submit(session=f"x{n}", deadline=harness.now + 20.0)
         for _ in range(3):
-            harness.end(request, Outcome.TIMED_OUT, after=0.01)
+            harness.end_attempt(request, Outcome.TIMED_OUT, after=0.01)
             waits.append(harness.attempt_timeout)
         request.client_left()
-        harness.end(request, Outcome.CANCELLED, after=0.01, closed=True)
+        harness.end_attempt(request, Outcome.CANCELLED, after=0.01, closed=True)
     assert waits == sorted(waits) and waits[0] == pytest.approx(2.4, abs=0.2) and waits[-1] > 4.0
     answered(80)
-    harness.take(session="y", deadline=harness.now + 20.0)
+    harness.submit(session="y", deadline=harness.now + 20.0)
     assert harness.attempt_timeout == pytest.approx(2.4, abs=0.2)
 
 
@@ -229,15 +229,15 @@
     time-out is below the failure threshold."""
     harness = router_harness()
     harness.engines((10, 0), (11, 0), (12, 1))
-    request = harness.take(session="s", shared="a")
-    [(_, slow)] = harness.asked()
-    harness.end(request, outcome, after=1.0)
+    request = harness.submit(session="s", shared="a")
+    [(_, slow)] = harness.new_actions()
+    harness.end_attempt(request, outcome, after=1.0)
     until, _ = harness.router.engines[slow].cooldowns.get(None, (harness.now, 0.0))
     assert until - harness.now == pytest.approx(1.0 if cools_down else 0.0)
-    harness.end(request, Outcome.PREFILLED, after=0.1)
-    harness.asked()
-    harness.take(session="t", shared="a")
-    assert cools_down <= (harness.asked() != [("send", slow)])
+    harness.end_attempt(request, Outcome.PREFILLED, after=0.1)
+    harness.new_actions()
+    harness.submit(session="t", shared="a")
+    assert cools_down <= (harness.new_actions() != [("send", slow)])
 
 
 @pytest.mark.parametrize("each, sends", [(0.01, 3), (0.25, 1)])
@@ -247,12 +247,12 @@
     """Guards against a state that is still held after 0.5 s of connecting to two decode engines in vain."""
     harness = router_harness()
     harness.engines((10, 0), *((n, 1) for n in range(12, 18)))
-    request = harness.take()
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit()
+    harness.end_attempt(request, Outcome.PREFILLED)
     for _ in range(2):
         if request.state_engine:
-            harness.end(request, Outcome.UNREACHABLE, after=each)
-    asked = harness.asked()
+            harness.end_attempt(request, Outcome.UNREACHABLE, after=each)
+    asked = harness.new_actions()
     assert sum(a[0] == "send" and a[1] != 10 for a in asked) == sends
     assert (("release",) in asked) == (sends == 1)
 
@@ -260,11 +260,11 @@
 @pytest.mark.parametrize("effect", [IDEMPOTENT, IDEMPOTENCY_KEYED, NON_IDEMPOTENT])
 def test_one_final_answer_in_time_when_no_engine_is_usable(router_harness: New, effect: Effect) -> None:
     harness = router_harness(effect=effect)
-    harness.take(deadline=harness.now + 1.0)
+    harness.submit(deadline=harness.now + 1.0)
     harness.wait(0.98)
-    assert harness.asked() == [("rate_limit",)]
+    assert harness.new_actions() == [("rate_limit",)]
     harness.wait(1.0)
-    assert harness.asked() == []
+    assert harness.new_actions() == []
 
 
 def test_no_send_to_draining_or_removed_engines(router_harness: New) -> None:
@@ -273,26 +273,26 @@
     harness.engines((10, 0), health=Health.DRAINING)
     harness.router.begin_list_update(complete=True)
     harness.router.end_list_update()
-    harness.take()
-    assert harness.asked() == [("rate_limit",)]
+    harness.submit()
+    assert harness.new_actions() == [("rate_limit",)]
 
 
 def test_a_prefill_engine_that_fails_fast_cools_down_and_ramps_up_again(router_harness: New) -> None:
     harness = router_harness()
     harness.engines((10, 0), (12, 1), (13, 1), (14, 1))
     harness.router.recent_in_time, harness.router.counters_updated_at = 100.0, harness.now  # no overload
-    failed = harness.take()
-    harness.end(failed, Outcome.UNREACHABLE, after=0.01)
-    assert harness.asked() == [("send", 10)]
+    failed = harness.submit()
+    harness.end_attempt(failed, Outcome.UNREACHABLE, after=0.01)
+    assert harness.new_actions() == [("send", 10)]
     harness.wait(0.6)
-    requests = [failed] + [harness.take(session=str(i)) for i in range(6)]
-    assert harness.asked() == [("send", 10)]
+    requests = [failed] + [harness.submit(session=str(i)) for i in range(6)]
+    assert harness.new_actions() == [("send", 10)]
     ramp_limits = []
     for _ in range(3):
         for request in [
             request for request in requests if request.current_attempt and request.current_attempt.is_prefill
         ]:
-            harness.end(request, Outcome.PREFILLED, after=0.01)
+            harness.end_attempt(request, Outcome.PREFILLED, after=0.01)
         ramp_limits.append(harness.router.engines[10].ramp_limit)
         harness.wait(0.06)
     assert ramp_limits == [2, 4, 6]  # two at once, the limit per prefill engine
@@ -313,9 +313,9 @@
     engine, cooldowns_seen = harness.router.engines[10], []
     for latency in (0.9, 0.9, 0.9, 0.1, 0.1):
         harness.now = max(harness.now, engine.cooldowns.get(None, (0.0, 0.0))[0]) + 0.01
-        request = harness.take()
-        harness.end(request, Outcome.PREFILLED, after=latency)
-        harness.first(request)
+        request = harness.submit()
+        harness.end_attempt(request, Outcome.PREFILLED, after=latency)
+        harness.receive_first_token(request)
         cooldowns_seen.append(engine.cooldowns[None][1])
     assert cooldowns_seen == pytest.approx([0.9, 1.8, 3.6, 1.8, 0.9])
 
@@ -338,8 +338,8 @@
     harness.router.counters_updated_at = harness.now
     for i in range(40):
         harness.router.recent_requests, harness.router.recent_in_time = recent, in_time
-        harness.take(session=str(i), shared=str(i))
-    sent = sum(a[0] == "send" for a in harness.asked())
+        harness.submit(session=str(i), shared=str(i))
+    sent = sum(a[0] == "send" for a in harness.new_actions())
     assert sent == admitted if admitted == 40 else 2 <= sent <= 16
 
 
@@ -349,10 +349,10 @@
 ) -> None:
     harness = router_harness()
     harness.engines((10, 0), (12, 1))
-    harness.end(harness.take(tenant=0), Outcome.FULL, after=latency)
-    harness.asked()
-    harness.take(tenant=1)
-    assert [a[0] for a in harness.asked()] == ([others] if others else [])
+    harness.end_attempt(harness.submit(tenant=0), Outcome.FULL, after=latency)
+    harness.new_actions()
+    harness.submit(tenant=1)
+    assert [a[0] for a in harness.new_actions()] == ([others] if others else [])
 
 
 @pytest.mark.parametrize("fronts", [3, 200])
@@ -364,23 +364,23 @@
         harness = router_harness(number=number, fronts=fronts)
         harness.engines(*((n, 0) for n in range(10, 30)), (30, 1))
         for i in range(30):
-            request = harness.take(session=f"s{i}", shared="text")
-            harness.end(request, Outcome.PREFILLED, after=0.01)
-            harness.first(request, after=0.01)
-            harness.end(request, Outcome.FINISHED, closed=True)
-        seen.append([a[1] for a in harness.asked() if a[0] == "send" and a[1] < 30])
+            request = harness.submit(session=f"s{i}", shared="text")
+            harness.end_attempt(request, Outcome.PREFILLED, after=0.01)
+            harness.receive_first_token(request, after=0.01)
+            harness.end_attempt(request, Outcome.FINISHED, closed=True)
+        seen.append([a[1] for a in harness.new_actions() if a[0] == "send" and a[1] < 30])
     assert seen[0] == seen[1] == seen[2] and len(set(seen[0])) == 1
 
 
 def test_an_engine_with_an_overdue_attempt_gets_no_more(router_harness: New) -> None:
     harness = router_harness()
     harness.engines((10, 0), (11, 0), (12, 1))
-    harness.take(session="x")
-    [(_, silent)] = harness.asked()
+    harness.submit(session="x")
+    [(_, silent)] = harness.new_actions()
     harness.wait(0.45)
     for _ in range(2):
-        harness.take(session="x")
-    assert {e for _, e in harness.asked()} == {21 - silent}
+        harness.submit(session="x")
+    assert {e for _, e in harness.new_actions()} == {21 - silent}
 
 
 def keys_for_each_engine(router: Router, role: Role) -> list[str]:
@@ -410,7 +410,7 @@
         start = harness.now
         harness.engines((20, 0), started=start)
         engine = harness.router.engines[20]
-        request = harness.take()
+        request = harness.submit()
         harness.router.slow_start.recent_keys.extend(keys_for_each_engine(harness.router, Role.PREFILL))
         engine.ramp_limit = 0
         harness.router.recent_prefills = harness.router.recent_prefill_answers = 0.0
@@ -435,7 +435,7 @@
     engines of its role can answer. Could harm where prefills are lost for another reason."""
     harness = router_harness(fronts=200)
     harness.engines((11, 0), (13, 1), (20, 0))
-    request = harness.take()
+    request = harness.submit()
     harness.router.recent_prefills, harness.router.recent_prefill_answers = 40.0, 40.0 * answered
     harness.engines((20, 0), started=harness.now)
     harness.router.slow_start.recent_keys.extend(keys_for_each_engine(harness.router, Role.PREFILL))
@@ -453,12 +453,12 @@
     harness.engines((13, 1))
     for i in range(8):
         harness.engines((20, 0), started=harness.now)
-        request = harness.take(session=f"s{i}", deadline=harness.now + 30.0)
+        request = harness.submit(session=f"s{i}", deadline=harness.now + 30.0)
         harness.wait(9.5)
         assert request.attempts and request.attempts[0].engine.number == 20
-        harness.end(request, Outcome.PREFILLED)
-        harness.first(request)
-        harness.end(request, Outcome.FINISHED, closed=True)
+        harness.end_attempt(request, Outcome.PREFILLED)
+        harness.receive_first_token(request)
+        harness.end_attempt(request, Outcome.FINISHED, closed=True)
 
 
 def test_the_cost_of_a_decision_grows_only_linearly_with_the_list(
@@ -478,7 +478,7 @@
         return cold(engine)
 
     monkeypatch.setattr(harness.router.slow_start, "is_cold", counted)
-    harness.take(5000)
+    harness.submit(5000)
     assert 1024 <= checks <= 16 * 1024
 
 
@@ -490,19 +490,19 @@
     harness.engines((16, 0), started=harness.now)
     cold = {}
     for i in range(60):
-        request = harness.take(session=str(i), shared=f"text {i}", shared_tokens=4000)
-        harness.end(request, Outcome.PREFILLED)
+        request = harness.submit(session=str(i), shared=f"text {i}", shared_tokens=4000)
+        harness.end_attempt(request, Outcome.PREFILLED)
         cold[i] = request.attempts[0].engine.number
-        harness.first(request)
-        harness.end(request, Outcome.FINISHED, closed=True)
+        harness.receive_first_token(request)
+        harness.end_attempt(request, Outcome.FINISHED, closed=True)
         harness.router.engines[16].cold_attempts.clear()
     harness.now += 20.0
     for i in range(60):
-        request = harness.take(session=str(i), shared=f"text {i}", shared_tokens=4000)
+        request = harness.submit(session=str(i), shared=f"text {i}", shared_tokens=4000)
         assert request.attempts[0].engine.number == cold[i]
-        harness.end(request, Outcome.PREFILLED)
-        harness.first(request)
-        harness.end(request, Outcome.FINISHED, closed=True)
+        harness.end_attempt(request, Outcome.PREFILLED)
+        harness.receive_first_token(request)
+        harness.end_attempt(request, Outcome.FINISHED, closed=True)
     assert 3 <= sum(number == 16 for number in cold.values()) <= 20
 
 
@@ -512,10 +512,10 @@
     harness.engines(*((10 + i, 0) for i in range(6)), (90, 1))
     prefill_engines = []
     for i in range(5):
-        request = harness.take(session=f"s{i}", shared="text", shared_tokens=4000)
+        request = harness.submit(session=f"s{i}", shared="text", shared_tokens=4000)
         prefill_engines.append(request.attempts[0].engine.number)
         if i != 3:
-            harness.end(request, Outcome.PREFILLED)
+            harness.end_attempt(request, Outcome.PREFILLED)
     first, *_, others = prefill_engines
     assert prefill_engines[:4] == [first] * 4 and others != first
 
@@ -523,9 +523,9 @@
 def test_a_restart_under_the_same_number_clears_the_cache(router_harness: New) -> None:
     harness = router_harness()
     harness.engines(*FLEET)
-    request = harness.take(1900)
-    harness.first(request)
-    harness.end(request, Outcome.FINISHED, closed=True)
+    request = harness.submit(1900)
+    harness.receive_first_token(request)
+    harness.end_attempt(request, Outcome.FINISHED, closed=True)
     assert harness.router.engines[14].cached_tokens(request) == 1900
     harness.engines((14, 2), started=harness.now)
     assert harness.router.engines[14].cached_tokens(request) == 0
@@ -536,10 +536,10 @@
         harness = router_harness()
         harness.engines(*FLEET, (15, 1), (16, 1), (17, 1))
         for i in range(20):
-            request = harness.take(1000 + 300 * i, session=f"s{i % 4}")
+            request = harness.submit(1000 + 300 * i, session=f"s{i % 4}")
             if request.current_attempt and request.current_attempt.is_prefill:
-                harness.end(request, Outcome.PREFILLED)
-        return harness.asked()
+                harness.end_attempt(request, Outcome.PREFILLED)
+        return harness.new_actions()
 
     assert actions() == actions()
 
@@ -549,8 +549,8 @@
     harness.engines((14, 2))
     waits = []
     for i in range(4):
-        request = harness.take(500, session=str(i))
-        harness.end(request, Outcome.FULL, after=0.01)
+        request = harness.submit(500, session=str(i))
+        harness.end_attempt(request, Outcome.FULL, after=0.01)
         waits.append(round(harness.router.engines[14].cooldowns[None][0] - harness.now, 2))
         harness.now = harness.router.engines[14].cooldowns[None][0]
         request.client_left()
@@ -562,36 +562,36 @@
     harness.engines((10, 0), (11, 0), (15, 0), (12, 1), (13, 1), (16, 1), (17, 1))
     harness.router.recent_in_time, harness.router.counters_updated_at = 100.0, harness.now  # no overload
     for i in range(6):
-        harness.take(session=str(i), shared="text")
-    prefill_engines = [e for _, e in harness.asked()]
+        harness.submit(session=str(i), shared="text")
+    prefill_engines = [e for _, e in harness.new_actions()]
     # One prefill engine stays free: the prefix isn't cached there.
     assert len(prefill_engines) == 2 * len(set(prefill_engines)) < 6
     for i in range(20):
-        harness.take(session=f"other{i}")
-    assert {a[1] for a in harness.asked() if a[0] == "send"} == {10, 11, 15} - set(prefill_engines)
+        harness.submit(session=f"other{i}")
+    assert {a[1] for a in harness.new_actions() if a[0] == "send"} == {10, 11, 15} - set(prefill_engines)
 
 
 def test_an_unanswered_attempt_blocks_its_engine(router_harness: New) -> None:
     harness = router_harness()
     harness.engines((10, 0), (12, 1))
-    harness.end(harness.take(), Outcome.PREFILLED, after=0.01)
-    harness.asked()
-    harness.take(session="x")
+    harness.end_attempt(harness.submit(), Outcome.PREFILLED, after=0.01)
+    harness.new_actions()
+    harness.submit(session="x")
     harness.wait(0.45)  # not timed out yet, but longer than a good answer takes
-    harness.take(session="y")
-    assert harness.asked() == [("send", 10), ("release",)]  # the release is of the first, at its limit
+    harness.submit(session="y")
+    assert harness.new_actions() == [("send", 10), ("release",)]  # the release is of the first, at its limit
 
 
 def test_a_deferred_request_is_answered_at_once_when_its_attempt_times_out(router_harness: New) -> None:
     harness = router_harness()
     harness.engines((14, 2))
     harness.router.engines[14].cooldowns[None] = harness.now + 0.1, 0.1
-    request = harness.take(500, deadline=harness.now + 1.0)
+    request = harness.submit(500, deadline=harness.now + 1.0)
     harness.wait(0.2)
     harness.now += 0.78
     harness.router.decide()
-    harness.end(request, Outcome.TIMED_OUT, after=0.005)  # right after a scan, near the deadline
-    assert harness.asked() == [("send", 14), ("rate_limit",)]
+    harness.end_attempt(request, Outcome.TIMED_OUT, after=0.005)  # right after a scan, near the deadline
+    assert harness.new_actions() == [("send", 14), ("rate_limit",)]
 
 
 def test_a_failed_subscription_is_repeated_after_a_while(router_harness: New) -> None:
@@ -599,9 +599,9 @@
     harness.router.decide()
     harness.router.list_request_failed()
     harness.router.decide()
-    assert harness.asked() == [("subscribe",)]  # the first one, at the start
+    assert harness.new_actions() == [("subscribe",)]  # the first one, at the start
     harness.wait(1.6)
-    assert harness.asked() == [("subscribe",)]
+    assert harness.new_actions() == [("subscribe",)]
 
 
 def test_a_front_that_admitted_nothing_after_an_overload_tries_again(router_harness: New) -> None:
@@ -612,8 +612,8 @@
     asked = []
     for _ in range(2):
         harness.router.recent_requests, harness.router.counters_updated_at = 3.5, harness.now
-        request = harness.take()
-        asked += harness.asked()
+        request = harness.submit()
+        asked += harness.new_actions()
         request.client_left()
         harness.now += 20.0
     assert asked == [("rate_limit",), ("send", 10)]
@@ -628,7 +628,7 @@
     for _ in range(60):
         harness.router.prefill_fit.add(prefill_features(5000), 2.0, harness.now)
     harness.router.recent_requests, harness.router.counters_updated_at = 10.0, harness.now
-    requests = [harness.take(session=str(n)) for n in range(40)]
+    requests = [harness.submit(session=str(n)) for n in range(40)]
     assert not any(request.attempts for request in requests) and all(request.over for request in requests)
     by_chance = sum(request.latest_start == -inf for request in requests)
     assert 0 < by_chance < 40 and harness.router.recent_requests == pytest.approx(10.0 + by_chance)
@@ -642,9 +642,9 @@
     harness.engines((12, 1), (14, 2))
     for _ in range(2):
         harness.now += 4.0  # past its cooldown
-        request = harness.take(1000, deadline=harness.now + left)
-        harness.end(request, Outcome.TIMED_OUT, after=left)
-        harness.asked()
+        request = harness.submit(1000, deadline=harness.now + left)
+        harness.end_attempt(request, Outcome.TIMED_OUT, after=left)
+        harness.new_actions()
     assert (harness.router.engines[14].failures > 0) == is_failure
 
 
@@ -668,13 +668,13 @@
     group has been removed."""
     harness = router_harness(effect=effect, group=group, try_limit=9)
     harness.engines((10, 0), (112, 1), (212, 1))
-    request = harness.take(deadline=harness.now + 60.0)
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit(deadline=harness.now + 60.0)
+    harness.end_attempt(request, Outcome.PREFILLED)
     if draining:
         harness.engines((request.attempts[-1].engine.number, 1), health=Health.DRAINING)
-    harness.asked()
-    harness.end(request, Outcome.ERROR, after=after)
-    assert harness.asked()[-1][0] == answer
+    harness.new_actions()
+    harness.end_attempt(request, Outcome.ERROR, after=after)
+    assert harness.new_actions()[-1][0] == answer
     harness.wait(1.0)
     assert request.is_done == (answer != "send")
 
@@ -693,16 +693,16 @@
 ) -> None:
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=Group.CELL)
     harness.engines((10, 0), (12, 1), (22, 1))
-    request = harness.take(deadline=harness.now + 60.0)
-    harness.end(request, Outcome.PREFILLED)
-    harness.end(request, Outcome.ERROR)
+    request = harness.submit(deadline=harness.now + 60.0)
+    harness.end_attempt(request, Outcome.PREFILLED)
+    harness.end_attempt(request, Outcome.ERROR)
     harness.router.engines[10].cool_down(None, harness.now, harness.now, cooldown)
-    harness.end(request, Outcome.FULL, detail=1)  # the state is gone: it waits for the prefill engine
-    harness.asked()
+    harness.end_attempt(request, Outcome.FULL, detail=1)  # the state is gone: it waits for the prefill engine
+    harness.new_actions()
     if draining:
         harness.engines((12, 1), health=Health.DRAINING)
     harness.wait(waited)
-    assert [asked[0] for asked in harness.asked()] == [answer] * bool(answer)
+    assert [asked[0] for asked in harness.new_actions()] == [answer] * bool(answer)
 
 
 @pytest.mark.parametrize("outcome", [o for o in Outcome if o not in (Outcome.PREFILLED, Outcome.FINISHED)])
@@ -713,12 +713,12 @@
     """After an attempt that may have run it is answered at once, after one that never ran it is retried."""
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=False)
     harness.engines((10, 0), (12, 1), (22, 1))
-    request = harness.take(deadline=harness.now + 60.0)
-    harness.end(request, Outcome.PREFILLED)
-    harness.asked()
-    harness.end(request, outcome, after=0.01)
+    request = harness.submit(deadline=harness.now + 60.0)
+    harness.end_attempt(request, Outcome.PREFILLED)
+    harness.new_actions()
+    harness.end_attempt(request, outcome, after=0.01)
     harness.wait(0.1)
-    sent = [asked for asked in harness.asked() if asked[0] != "release"]
+    sent = [asked for asked in harness.new_actions() if asked[0] != "release"]
     assert [asked[0] for asked in sent] == ["send" if outcome in NEVER_RAN else refused]
     assert request.is_done == (outcome not in NEVER_RAN)
 
@@ -733,8 +733,8 @@
     """Guards against half of the time left for a retry that is not made; a refused one may be repeated."""
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     harness.engines(*FLEET)
-    request = harness.take(deadline=harness.now + 20.0)
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit(deadline=harness.now + 20.0)
+    harness.end_attempt(request, Outcome.PREFILLED)
     assert harness.attempt_timeout == pytest.approx(timeout)
 
 
@@ -747,15 +747,15 @@
 ) -> None:
     harness = router_harness(effect=IDEMPOTENCY_KEYED, group=group, keyed_repeats=keyed_repeats)
     harness.engines((10, 0), (12, 1), (22, 1))
-    request = harness.take(deadline=harness.now + 20.0)
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit(deadline=harness.now + 20.0)
+    harness.end_attempt(request, Outcome.PREFILLED)
     harness.wait(0.4)
-    harness.asked()
+    harness.new_actions()
     request.engine_silent(1)
-    assert harness.asked() == [("cancel", 1)] * ends
-    harness.end(request, Outcome.CANCELLED)
+    assert harness.new_actions() == [("cancel", 1)] * ends
+    harness.end_attempt(request, Outcome.CANCELLED)
     if not keyed_repeats:
-        answers = [asked[0] for asked in harness.asked() if asked[0] != "release"]
+        answers = [asked[0] for asked in harness.new_actions() if asked[0] != "release"]
         assert answers == ["rate_limit" if group is Group.ALL else "abort"]
 
 
@@ -765,11 +765,11 @@
 ) -> None:
     harness = router_harness(try_limit=2)
     harness.engines((10, 0), (12, 1), *others)
-    request = harness.take()
+    request = harness.submit()
     assert request.attempts[0].is_prefill
-    harness.asked()
-    harness.end(request, Outcome.UNREACHABLE)
-    assert harness.asked()[-1][0] == then
+    harness.new_actions()
+    harness.end_attempt(request, Outcome.UNREACHABLE)
+    assert harness.new_actions()[-1][0] == then
 
 
 @pytest.mark.parametrize(
@@ -794,32 +794,32 @@
         harness = router_harness(read_in_place=in_place, zone=zones - 1)
         harness.engines(*((100 * zone + 10 * kind, kind) for zone in range(zones) for kind in kinds))
         for n in range(6):
-            request = harness.take(session=f"s{n % 2}")
+            request = harness.submit(session=f"s{n % 2}")
             if answer == "limited":
-                assert request.is_done and harness.asked() == [("rate_limit",)]
+                assert request.is_done and harness.new_actions() == [("rate_limit",)]
                 continue
             assert (
                 request.current_attempt
                 and request.current_attempt.engine.kind.role is KINDS[int(answer[-1])].role
             )
             if request.current_attempt.is_prefill:
-                harness.end(request, Outcome.PREFILLED)
-            harness.first(request)
-            harness.end(request, Outcome.FINISHED, closed=True)
+                harness.end_attempt(request, Outcome.PREFILLED)
+            harness.receive_first_token(request)
+            harness.end_attempt(request, Outcome.FINISHED, closed=True)
             assert request.is_done
         harness.router.begin_list_update(complete=True)
         harness.router.end_list_update()
-        assert harness.take().is_done  # all engines are removed
+        assert harness.submit().is_done  # all engines are removed
 
 
 def test_a_front_that_has_just_started_waits_for_its_list(router_harness: New) -> None:
     harness = router_harness()
-    harness.take()
+    harness.submit()
     harness.wait(0.2)
-    assert harness.asked() == []
+    assert harness.new_actions() == []
     harness.engines(*FLEET)
     harness.wait(0.1)
-    assert harness.asked()[-1][0] == "send"
+    assert harness.new_actions()[-1][0] == "send"
 
 
 @pytest.mark.parametrize(
@@ -830,7 +830,7 @@
 ) -> None:
     harness = router_harness(may_delay_retries=allowed, longest_retry=longest)
     harness.engines((10, 0))
-    harness.take()
+    harness.submit()
     assert harness.retry_after == expected
 
 
@@ -838,20 +838,20 @@
     harness = router_harness()
     harness.engines((12, 2))
     for _ in range(3):
-        request = harness.take()
-        harness.end(request, Outcome.FINISHED, closed=True)
-        assert request.is_done and harness.asked() == [("send", 12)]
+        request = harness.submit()
+        harness.end_attempt(request, Outcome.FINISHED, closed=True)
+        assert request.is_done and harness.new_actions() == [("send", 12)]
     assert harness.router.recent_in_time > 2.0
 
 
 def test_another_machine_under_a_known_number_is_a_new_engine(router_harness: New) -> None:
     harness = router_harness()
     harness.engines((10, 0), (12, 1))
-    request = harness.take()
+    request = harness.submit()
     harness.engines((10, 1), (12, 0))
-    harness.end(request, Outcome.UNREACHABLE)
+    harness.end_attempt(request, Outcome.UNREACHABLE)
     assert [d.engine.kind.role for d in request.attempts] == [Role.PREFILL, Role.PREFILL]
-    assert harness.asked() == [("send", 10), ("send", 12)] and not harness.router.engines[10].in_flight
+    assert harness.new_actions() == [("send", 10), ("send", 12)] and not harness.router.engines[10].in_flight
 
 
 @pytest.mark.parametrize("subscribe", [True, False])
@@ -861,11 +861,11 @@
     harness.engines((10, 0), (12, 1))
     harness.engines((13, 1), started=-2.0)  # before the clock started: still cold
     harness.router.decide()
-    assert (("subscribe",) in harness.asked()) == subscribe
+    assert (("subscribe",) in harness.new_actions()) == subscribe
     cold = harness.router.slow_start.is_cold
     assert cold(harness.router.engines[13]) and not cold(harness.router.engines[12])
-    harness.take()
-    assert harness.asked() == [("send", 10)]
+    harness.submit()
+    assert harness.new_actions() == [("send", 10)]
 
 
 @pytest.mark.parametrize(
@@ -887,12 +887,12 @@
     harness.engines((10, 0), (12, 1), (14, 2))
     harness.engines((11, 0), (13, 1), started=harness.now - 1.0)
     for n in range(4):
-        request = harness.take(session=str(n), answer_hint=hint)
+        request = harness.submit(session=str(n), answer_hint=hint)
         while request.current_attempt and request.current_attempt.is_prefill:
-            harness.end(request, Outcome.PREFILLED)
+            harness.end_attempt(request, Outcome.PREFILLED)
         assert request.current_attempt
-        harness.first(request)
-        harness.end(request, Outcome.FINISHED, closed=True)
+        harness.receive_first_token(request)
+        harness.end_attempt(request, Outcome.FINISHED, closed=True)
         assert request.is_done
 
 
@@ -905,15 +905,15 @@
     decode engines timed out."""
     harness = router_harness()
     harness.engines((10, 0), (12, 1), (22, 1))
-    first = harness.take()
-    harness.end(first, Outcome.PREFILLED)
-    assert harness.asked()[-1] == ("send", 12)  # in the prefill engine's cell
-    harness.first(first, 0.9)
-    harness.end(first, Outcome.FINISHED, closed=True)
+    first = harness.submit()
+    harness.end_attempt(first, Outcome.PREFILLED)
+    assert harness.new_actions()[-1] == ("send", 12)  # in the prefill engine's cell
+    harness.receive_first_token(first, 0.9)
+    harness.end_attempt(first, Outcome.FINISHED, closed=True)
     harness.wait(after)
-    harness.asked()
-    harness.end(harness.take(session="t"), Outcome.PREFILLED)
-    assert [done for done in harness.asked() if done[0] == "send"][-1] == ("send", decode_engine)
+    harness.new_actions()
+    harness.end_attempt(harness.submit(session="t"), Outcome.PREFILLED)
+    assert [done for done in harness.new_actions() if done[0] == "send"][-1] == ("send", decode_engine)
 
 
 @pytest.mark.parametrize("group", [Group.ZONE, Group.CELL])
@@ -924,13 +924,13 @@
     for number, zone, kind in ((1, 0, 0), (2, 0, 1), (3, 1, 1)):
         harness.router.update_engine(number, zone, kind, 0, Health.ON, 1.0, 0.0)
     harness.router.end_list_update()
-    request = harness.take()
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit()
+    harness.end_attempt(request, Outcome.PREFILLED)
     first = request.attempts[-1].engine
     first.health = Health.DRAINING
-    harness.asked()
-    harness.end(request, Outcome.BROKEN)
-    assert "send" not in [asked[0] for asked in harness.asked()]
+    harness.new_actions()
+    harness.end_attempt(request, Outcome.BROKEN)
+    assert "send" not in [asked[0] for asked in harness.new_actions()]
 
 
 def test_a_state_that_an_attempt_may_have_found_before_a_release_is_released_when_it_ends(
@@ -939,12 +939,12 @@
     """Guards against a state that stays held because a combined engine found it and its attempt timed out."""
     harness = router_harness()
     harness.engines((10, 0), (12, 1))
-    request = harness.take(500)
-    harness.end(request, Outcome.PREFILLED)
+    request = harness.submit(500)
+    harness.end_attempt(request, Outcome.PREFILLED)
     harness.engines((12, 1), health=Health.REMOVED)
     harness.engines((14, 2))
-    harness.asked()
-    harness.end(request, Outcome.TIMED_OUT, after=1.0)
-    assert harness.asked() == [("release",), ("send", 14)]
-    harness.end(request, Outcome.TIMED_OUT, after=1.0)
-    assert harness.asked()[0] == ("release",)
+    harness.new_actions()
+    harness.end_attempt(request, Outcome.TIMED_OUT, after=1.0)
+    assert harness.new_actions() == [("release",), ("send", 14)]
+    harness.end_attempt(request, Outcome.TIMED_OUT, after=1.0)
+    assert harness.new_actions()[0] == ("release",)
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -96,7 +96,7 @@
             connection = await decode_engine.wait_for_request()
             other_engine.state = "SERVING"
             setup.publish_entries(other_engine)
-            await until(lambda: setup.node.instances.version == 2, "the change")
+            await until(lambda: setup.node.endpoint_list.version == 2, "the change")
             with small_reads():
                 send_ahead_and_leave(client, way)
                 if outcome == "reset":
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -208,7 +208,7 @@
         assert closed[0].transport is not None and closed[0].transport.is_closing()
         other = decode("w2")
         setup.publish_entries(other)
-        await until(lambda: "w2" in setup.node.instances.entries, "the change")
+        await until(lambda: "w2" in setup.node.endpoint_list.entries, "the change")
         other.close()
 
     run_scenario(tmp_path, scenario)
--- a/tests/test_repeat_beside_silence.py
+++ b/tests/test_repeat_beside_silence.py
@@ -98,7 +98,13 @@
             assert stopped.posts == before
 
     run_scenario(
-        tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class, tryLimit=TRY_LIMIT
+        tmp_path,
+        scenario,
+        prefill(),
+        decode("w"),
+        decode("w2"),
+        change_settings=add_keyed_class,
+        tryLimit=TRY_LIMIT,
     )
 
 
@@ -129,7 +135,7 @@
             assert other.posts == before
             await client.wait_for_answers(2)
 
-    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class)
+    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), change_settings=add_keyed_class)
 
 
 def test_no_retry_though_all_engines_resume_in_time(tmp_path: Path) -> None:
@@ -151,7 +157,7 @@
                 await asyncio.sleep(WINDOW / 3)
                 assert [decode_engine.posts for decode_engine in decode_engines] == before
 
-    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class)
+    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), change_settings=add_keyed_class)
 
 
 def test_no_retry_where_the_first_engine_is_gone(tmp_path: Path) -> None:
@@ -173,7 +179,7 @@
                 await asyncio.sleep(WINDOW / 3)
                 assert other.posts == before
 
-    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class)
+    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), change_settings=add_keyed_class)
 
 
 def test_no_retry_is_read_late_by_an_engine_that_stops_right_after_its_answer(tmp_path: Path) -> None:
@@ -201,5 +207,11 @@
             assert other.posts == before
 
     run_scenario(
-        tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class, tryLimit=TRY_LIMIT
+        tmp_path,
+        scenario,
+        prefill(),
+        decode("w"),
+        decode("w2"),
+        change_settings=add_keyed_class,
+        tryLimit=TRY_LIMIT,
     )
--- a/tests/test_repeat_read_late.py
+++ b/tests/test_repeat_read_late.py
@@ -47,4 +47,4 @@
         releases.cancel()
         assert stopped.posts == 0
 
-    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), setting=add_keyed_class)
+    run_scenario(tmp_path, scenario, prefill(), decode("w"), decode("w2"), change_settings=add_keyed_class)
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -33,7 +33,7 @@
         a, b, c, d = prefill("r"), decode("w"), prefill("r"), decode("w")
         async with (
             front_node(tmp_path, a, b, name="n0") as first,
-            front_node(tmp_path, c, d, name="n1", setting=use_other_settings) as second,
+            front_node(tmp_path, c, d, name="n1", change_settings=use_other_settings) as second,
         ):
             for setup, unknown_name in ((first, "order"), (second, "chat")):
                 client = setup.client()
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -163,7 +163,7 @@
             assert await client.wait_for_answers(1) == [200] and monotonic() < gives_up_at
             check_deadlines(engines, gives_up_at)
 
-    run_scenario(tmp_path, scenario, decode("c"), decode("c2"), setting=combined)
+    run_scenario(tmp_path, scenario, decode("c"), decode("c2"), change_settings=combined)
 
 
 @pytest.mark.parametrize("slow", [0, 1], ids=["prefill", "decode"])
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -75,8 +75,8 @@
     monkeypatch.setattr(RecordedAttempt, "give_up_unless_arrived", give_up)
     harness = core_harness(effect)
     harness.engines((10, 0), (12, 1), (13, 1), (14, 1))
-    harness.take()
-    harness.read()
+    harness.submit()
+    harness.complete_prefill()
     harness.loop.pass_time(LIMIT)
     assert harness.link.released == [harness.link.attempts[0].name]
 
@@ -84,8 +84,8 @@
 def test_a_request_that_may_have_run_is_not_rate_limited(core_harness: Callable[..., CoreHarness]) -> None:
     harness = core_harness(Effect.NON_IDEMPOTENT)
     harness.engines((10, 0), (12, 1), (13, 1))
-    client, _ = harness.take()
-    harness.read()
+    client, _ = harness.submit()
+    harness.complete_prefill()
     harness.link.attempts[-1].events.ended(Outcome.UNARRIVED, 0, {}, {})
     harness.loop.turn()
     assert client.finals == ["aborted: given up"] and len(harness.link.attempts) == 2
@@ -96,8 +96,8 @@
 ) -> None:
     harness = core_harness(Effect.IDEMPOTENT)
     harness.engines((10, 0), (12, 1), (13, 1), (14, 1))
-    harness.take()
-    harness.read()
+    harness.submit()
+    harness.complete_prefill()
     for _ in range(3):
         harness.loop.pass_time(LIMIT / 6)
         harness.link.attempts[-1].events.ended(Outcome.BROKEN, 0, {}, {})
@@ -169,8 +169,8 @@
     """Return a harness with a state whose decode attempt is in flight, and engines for a second try."""
     harness = core_harness(effect)
     harness.engines((10, 0), (11, 0), (12, 1), (13, 1))
-    harness.take()
-    harness.read()
+    harness.submit()
+    harness.complete_prefill()
     return harness
 
 
@@ -289,8 +289,8 @@
 ) -> None:
     harness = core_harness(may_cancel=may_cancel)
     harness.engines((10, 0), (12, 1))
-    _, accepted_request = harness.take()
-    harness.read()
+    _, accepted_request = harness.submit()
+    harness.complete_prefill()
     accepted_request.client_left()
     harness.loop.pass_time(RELEASED_AFTER + 0.01)
     assert harness.link.released == [harness.link.attempts[0].name]
@@ -320,7 +320,7 @@
     async def scenario(setup: FrontSetup) -> None:
         prefill_engine, decode_engine = setup.engines
         recorders = RecordingReleaseEvents(), RecordingReleaseEvents()
-        holder = setup.node.instances.serving_endpoints(0)[0][0]
+        holder = setup.node.endpoint_list.serving_endpoints(0)[0][0]
         began = time.monotonic()
         for recorder in recorders:
             setup.node.link.release(holder, "c0", recorder)
@@ -345,7 +345,7 @@
         pools.open = int(pools.max_connections - pools.reserved)
         assert pools.reserved >= 1 and not pools.reserve(pools.pool("127.0.0.1", 1))
         recorder = RecordingReleaseEvents()
-        setup.node.link.release(setup.node.instances.serving_endpoints(0)[0][0], "c0", recorder)
+        setup.node.link.release(setup.node.endpoint_list.serving_endpoints(0)[0][0], "c0", recorder)
         (await prefill_engine.wait_for_request(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not setup.node.link.releases, "the end of the release")
         assert [line.partition(" ")[0] for line in recorder.events] == ["asked", "confirmed"]
@@ -358,7 +358,7 @@
 ) -> None:
     harness = core_harness()
     harness.engines((10, 0), (12, 1))
-    harness.take()
+    harness.submit()
     harness.link.attempts[-1].events.answer_begun()
     harness.link.attempts[-1].events.ended(Outcome.FULL, 0, {}, {})
     harness.loop.turn()
@@ -371,10 +371,10 @@
     harness = core_harness()
     harness.link.confirms = False
     harness.engines((10, 0), (12, 1))
-    harness.take()
+    harness.submit()
     harness.link.attempts[-1].events.answer_begun()
     harness.loop.pass_time(0.1)
-    harness.read()
+    harness.complete_prefill()
     harness.loop.pass_time(LIMIT + ALLOWANCE - 0.09)
     assert no_violations == ["HELD: cmpl-f-1: held for 0.600 s, releasing"]
     no_violations.clear()
@@ -399,7 +399,7 @@
     async def scenario(setup: FrontSetup) -> None:
         prefill_engine = setup.engines[0]
         recorder = RecordingReleaseEvents()
-        setup.node.link.release(setup.node.instances.serving_endpoints(0)[0][0], "c0", recorder)
+        setup.node.link.release(setup.node.endpoint_list.serving_endpoints(0)[0][0], "c0", recorder)
         await until(lambda: "failed" in recorder.events, "the end of the first")
         asked = prefill_engine.deletes
         await until(lambda: prefill_engine.deletes > asked, "another")
@@ -427,7 +427,7 @@
         running = setup.engines[-1]
         recorder = RecordingReleaseEvents()
         began = time.monotonic()
-        setup.node.link.release(setup.node.instances.serving_endpoints(0)[0][0], "c0", recorder)
+        setup.node.link.release(setup.node.endpoint_list.serving_endpoints(0)[0][0], "c0", recorder)
         (await running.wait_for_request(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
         await until(lambda: not setup.node.link.releases, "the end of the release")
         assert time.monotonic() - began < ALLOWANCE - STALL_ALLOWANCE + 0.1
@@ -449,7 +449,7 @@
         await setup.answer(setup.client(), "c0")
         await setup.wait_until_reusable()
         setup.publish_entries(*others)
-        listed = setup.node.instances.serving_endpoints
+        listed = setup.node.endpoint_list.serving_endpoints
         await until(lambda: len(listed(0)[0]) == 7, "the others on the list")
         recorder = RecordingReleaseEvents()
         setup.node.link.release(next(e for e in listed(0)[0] if e.name == "r"), "c1", recorder)
--- a/tests/test_streams_prompt.py
+++ b/tests/test_streams_prompt.py
@@ -87,4 +87,4 @@
         """Raise the limit: these engines answer no release, and 200 streams take long to start when busy."""
         configuration["familyInfo"]["pinLimitNs"] = 60 * SECOND
 
-    run_scenario(tmp_path, scenario, sockets=2_048, setting=long_pin_limit)
+    run_scenario(tmp_path, scenario, sockets=2_048, change_settings=long_pin_limit)
--- a/tests/test_transfer.py
+++ b/tests/test_transfer.py
@@ -119,34 +119,40 @@
     rates = rates_of(2e5, 100.0, DECODE_ENTRY[0])
     harness = RouterHarness(transfers=rates)
     harness.engines(PREFILL_ENTRY, DECODE_ENTRY)
-    request = harness.take(size=SIZE)
-    assert harness.asked() == [("rate_limit",)] and request.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
+    request = harness.submit(size=SIZE)
+    assert (
+        harness.new_actions() == [("rate_limit",)]
+        and request.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
+    )
     assert harness.retry_after == 0.0
-    harness.take(size=LONG_SEND // 2)
-    assert harness.asked() == [("send", PREFILL_ENTRY[0])]
-    harness.take(session="t", size=SIZE)
-    harness.asked()
+    harness.submit(size=LONG_SEND // 2)
+    assert harness.new_actions() == [("send", PREFILL_ENTRY[0])]
+    harness.submit(session="t", size=SIZE)
+    harness.new_actions()
     rates.observe(arrived_send(COMBINED_ENTRY[0], 2e5), harness.now)
     harness.engines(COMBINED_ENTRY)
-    harness.take(session="u", size=SIZE)
-    assert harness.asked() == [("send", COMBINED_ENTRY[0])]
+    harness.submit(session="u", size=SIZE)
+    assert harness.new_actions() == [("send", COMBINED_ENTRY[0])]
 
 
 def test_two_slow_engines_of_a_role_end_a_request_and_one_does_not() -> None:
     harness = RouterHarness()
     harness.engines(PREFILL_ENTRY, (11, 0), (15, 0), DECODE_ENTRY)
-    request = harness.take(size=SIZE)
-    harness.end(request, Outcome.UNREACHABLE, detail=PART_ARRIVED)
-    assert [asked[0] for asked in harness.asked()] == ["send", "send"]
-    harness.end(request, Outcome.UNREACHABLE, detail=PART_ARRIVED)
-    assert harness.asked() == [("rate_limit",)] and request.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
+    request = harness.submit(size=SIZE)
+    harness.end_attempt(request, Outcome.UNREACHABLE, detail=PART_ARRIVED)
+    assert [asked[0] for asked in harness.new_actions()] == ["send", "send"]
+    harness.end_attempt(request, Outcome.UNREACHABLE, detail=PART_ARRIVED)
+    assert (
+        harness.new_actions() == [("rate_limit",)]
+        and request.give_up_reason is GiveUpReason.TRANSFER_TOO_SLOW
+    )
 
 
 def test_an_engine_that_was_slow_gets_a_further_attempt_at_the_learned_rate() -> None:
     """Guards against a cooldown of a healthy engine whose connection is slow."""
     harness = RouterHarness(transfers=(rates := TransferRates()))
     harness.engines(PREFILL_ENTRY, DECODE_ENTRY)
-    request = harness.take(size=SIZE)
+    request = harness.submit(size=SIZE)
     rates.observe(arrived_send(PREFILL_ENTRY[0], 8e5), harness.now)
-    harness.end(request, Outcome.UNSENT, detail=PART_ARRIVED)
-    assert harness.asked() == [("send", PREFILL_ENTRY[0])] * 2
+    harness.end_attempt(request, Outcome.UNSENT, detail=PART_ARRIVED)
+    assert harness.new_actions() == [("send", PREFILL_ENTRY[0])] * 2
