--- a/heathford/client/__init__.py
+++ b/heathford/client/__init__.py
@@ -1,4 +1,4 @@
-"""Client libraries: one set of answers and errors, over WebSocket sessions or HTTP, asyncio or blocking."""
+"""Client libraries with one set of results and errors, over WebSocket or HTTP, asyncio or blocking."""
 
 from heathford.client.answers import Aborted, BadRequest, Finished, NoFront, RateLimited
 from heathford.client.batches import Batches, BlockingBatches
--- a/heathford/client/answers.py
+++ b/heathford/client/answers.py
@@ -1,4 +1,4 @@
-"""What a completion comes to, the same for both protocols."""
+"""Results and errors of a completion, the same for both protocols."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -7,23 +7,34 @@
 
 @dataclass(frozen=True)
 class Finished:
+    """A finished completion.
+
+    completion: the front node's name for it; reason: the finish reason; usage: the token counts.
+    """
+
     completion: str
     text: str
     reason: str
     usage: Mapping[str, Any]
-    tries: int  # that this client made
+    tries: int  # attempts that this client made
 
 
 class CompletionError(Exception):
-    """A completion that did not finish. text: what had come by then; tries: that this client made."""
+    """A completion that did not finish.
+
+    text: the text received by then; tries: attempts that this client made.
+    """
 
     def __init__(self, why: str, text: str = "", tries: int = 0) -> None:
         super().__init__(why)
         self.text, self.tries = text, tries
 
 
-class RateLimited(CompletionError):  # noqa: N818 - the users' word
-    """Turned away; trying again does no harm. retry_after: s to stay away."""
+class RateLimited(CompletionError):  # noqa: N818 - the name of the final answer
+    """The request was rate-limited, and repeating it is safe.
+
+    retry_after: seconds to wait before the next attempt.
+    """
 
     def __init__(self, why: str, retry_after: float, text: str = "", tries: int = 0) -> None:
         super().__init__(why, text, tries)
@@ -31,12 +42,12 @@
 
 
 class Aborted(CompletionError):  # noqa: N818
-    """It ended without an answer, and may have run."""
+    """The request ended without an answer, and may have run."""
 
 
 class BadRequest(CompletionError):  # noqa: N818
-    """What was asked can't be; asking again changes nothing."""
+    """The request is invalid; repeating it gives the same error."""
 
 
 class NoFront(CompletionError):  # noqa: N818
-    """No front could be reached in time; nothing was sent."""
+    """No front node could be reached in time; nothing was sent."""
--- a/heathford/client/base.py
+++ b/heathford/client/base.py
@@ -1,4 +1,4 @@
-"""What both clients share: a completion's tries, its text once and in order, its end."""
+"""The part common to both clients: the attempts of a request, its text in order and once, its result."""
 
 import asyncio
 import ssl
@@ -8,25 +8,48 @@
 from typing import Any, Self
 
 from heathford.client.answers import Aborted, BadRequest, CompletionError, Finished, NoFront, RateLimited
-from heathford.client.retry import MIN_TIME_LEFT, SAID, RetryState, RetryBudget, FrontOrder, FailureKind
+from heathford.client.retry import (
+    MIN_TIME_LEFT,
+    RETRY_GUIDANCE,
+    RetryState,
+    RetryBudget,
+    FrontOrder,
+    FailureKind,
+)
 
 
 class AttemptError(Exception):
-    """How a try came to nothing."""
+    """A failed attempt.
+
+    trouble: how it failed; retry_after: s; guidance: where the front node allows a repeat; completion: the
+    front node's name for the request, if it accepted it.
+    """
 
     def __init__(
-        self, trouble: FailureKind, why: str, retry_after: float = 0.0, said: str = "", completion: str = ""
+        self,
+        trouble: FailureKind,
+        why: str,
+        retry_after: float = 0.0,
+        guidance: str = "",
+        completion: str = "",
     ) -> None:
         super().__init__(why)
-        self.completion = completion  # as the front calls it, where it took one
+        self.completion = completion
         self.trouble, self.retry_after = trouble, retry_after
-        self.said = said if said in SAID else ""  # what later versions may say is passed over
+        # Values of later protocol versions are ignored.
+        self.guidance = guidance if guidance in RETRY_GUIDANCE else ""
 
 
 class Client(ABC):
-    """addresses: of fronts, any of which may be asked; member: for whom; retry_share: tries again for each
-    first try, at the most; seed: of the order of fronts and of waits, for tests; tls: for addresses that
-    need it, where the system's authorities are not the ones to trust, or a certificate is to be shown."""
+    """A client of a group of front nodes.
+
+    addresses: of the front nodes, any of which may get a request; member: the tenant that owns the requests;
+    retry_share: the most retries for each new request, on average; seed: of the order of front nodes and the
+    jitter of waits, for tests; tls: for TLS addresses, if other authorities than the system's are to be
+    trusted or a client certificate is to be presented.
+
+    Raises ValueError without an address.
+    """
 
     def __init__(
         self,
@@ -37,14 +60,14 @@
         tls: ssl.SSLContext | None = None,
     ) -> None:
         if not addresses:
-            raise ValueError("addresses: at least one front is needed")
+            raise ValueError("addresses: at least one front node address is required")
         self.addresses, self.member, self.tls = list(addresses), member, tls
         self.fronts, self.budget = FrontOrder(len(addresses), seed), RetryBudget(retry_share)
 
     async def __aenter__(self) -> Self:
         return self
 
-    async def __aexit__(self, *problem: object) -> None:
+    async def __aexit__(self, *error: object) -> None:
         await self.close()
 
     def stream(
@@ -59,8 +82,11 @@
         prompt_cache_key: str = "",
         prefix_tokens: int = 0,
     ) -> "Stream":
-        """A completion whose text comes as it is made. timeout: s for all tries until the first token;
-        repeatable: whether running it twice does no harm. Each gets a key, if none is given."""
+        """Return a stream of a completion's text; the request is sent once the stream is started.
+
+        timeout: s for all attempts until the first token; repeatable: whether running the request twice is
+        safe; idempotency_key: generated if none is given.
+        """
         params: dict[str, Any] = {"model": model, "prompt": prompt}
         params |= {"idempotency_key": idempotency_key or uuid.uuid4().hex}
         for name, value in (
@@ -74,24 +100,29 @@
         return Stream(self, params, timeout, repeatable)
 
     async def complete(self, model: str, prompt: str | list[int], **more: Any) -> Finished:
-        """The whole answer. Raises RateLimited, Aborted, BadRequest or NoFront."""
+        """Return the complete answer. Raises RateLimited, Aborted, BadRequest or NoFront."""
         stream = self.stream(model, prompt, **more)
-        stream.whole = True
+        stream.buffered = True
         return await stream.result()
 
     @abstractmethod
     async def once(
         self, front: int, params: dict[str, Any], timeout: float, tell: Callable[[str, str], None]
     ) -> tuple[str, str, Any]:
-        """One try at one front: completion, finish reason, usage. `tell` gets completion and text as it
-        comes. Raises TroubleError, or BadRequest."""
+        """Make one attempt at one front node; return its name for the request, finish reason and usage.
+
+        tell: called with that name and each piece of text. Raises AttemptError or BadRequest.
+        """
 
     @abstractmethod
     async def close(self) -> None: ...
 
 
 class Stream:
-    """An answer under way: iterate over it for text, or await its result; leaving it early cancels it."""
+    """A completion in progress: iterate over it for its text, or await its result.
+
+    Leaving the iteration or the context early cancels the request.
+    """
 
     def __init__(self, client: Client, params: dict[str, Any], timeout: float, repeatable: bool) -> None:
         self.client, self.params, self.timeout, self.repeatable = client, params, timeout, repeatable
@@ -99,11 +130,12 @@
         self.completion = ""
         self.tries = 0
         self.parts: asyncio.Queue[str | None] = asyncio.Queue()
-        self.whole = False  # the caller sees nothing before the end
-        self.skip = 0  # characters that a joined answer tells again
+        self.buffered = False  # the caller gets no text before the end
+        self.skip_chars = 0  # characters that a repeat will send again
         self.task: asyncio.Task[Finished] | None = None
 
     def start(self) -> "asyncio.Task[Finished]":
+        """Send the request unless that has been done; return the task that ends with its result."""
         if self.task is None:
             self.task = asyncio.get_running_loop().create_task(self.run())
             self.task.add_done_callback(lambda _: self.parts.put_nowait(None))
@@ -113,7 +145,7 @@
         self.start()
         return self
 
-    async def __aexit__(self, *problem: object) -> None:
+    async def __aexit__(self, *error: object) -> None:
         if self.task and not self.task.done():
             self.task.cancel()
             await asyncio.wait([self.task])
@@ -128,32 +160,37 @@
             task.cancel()
 
     async def result(self) -> Finished:
+        """Wait for the end and return the complete answer; raises as Client.complete does."""
         return await self.start()
 
     def tell(self, completion: str, text: str) -> None:
-        """Text of the completion that is out. One joined again is told from its start: what the caller has is
-        passed over. Another completion's text can't go on where the first broke off; it can take its place
-        where the caller has seen nothing."""
-        if self.whole and completion != self.completion:
-            self.text, self.skip = "", 0
+        """Receive text of the attempt in flight.
+
+        A repeat that joins the request in progress gets the text from its start: what the caller has is
+        skipped. The text of another run can't continue where the first broke off; it can only replace the
+        first if the caller has seen none of it. Raises Aborted.
+        """
+        if self.buffered and completion != self.completion:
+            self.text, self.skip_chars = "", 0
         if self.completion and completion != self.completion and self.text:
-            raise Aborted("broke off, and was begun anew elsewhere", self.text, self.tries)
+            raise Aborted("the stream was lost, and the request was started anew", self.text, self.tries)
         self.completion = completion
-        new, self.skip = text[self.skip :], max(0, self.skip - len(text))
+        new, self.skip_chars = text[self.skip_chars :], max(0, self.skip_chars - len(text))
         if new:
             self.text += new
             self.parts.put_nowait(new)
 
     async def run(self) -> Finished:
+        """Make attempts until the request has its final answer or must not be retried."""
         loop = asyncio.get_running_loop()
         client = self.client
         until = loop.time() + self.timeout
-        attempt = RetryState(client.fronts, client.budget, until, self.repeatable, keyed=True)
-        front, ran = attempt.front, False  # whether any try may have run
+        retry_state = RetryState(client.fronts, client.budget, until, self.repeatable, keyed=True)
+        front, ran = retry_state.front, False  # whether any attempt may have run
         turned_away: float | None = None
         while True:
             self.tries += 1
-            self.skip = len(self.text)
+            self.skip_chars = len(self.text)
             try:
                 completion, reason, usage = await client.once(
                     front,
@@ -161,25 +198,33 @@
                     max(MIN_TIME_LEFT, until - loop.time()),
                     self.tell,
                 )
-                client.fronts.good(front)
+                client.fronts.record_success(front)
                 return Finished(completion, self.text, reason, usage, self.tries)
             except BadRequest:
                 raise
-            except AttemptError as problem:
-                trouble, why, wait, said = (problem.trouble, str(problem), problem.retry_after, problem.said)
+            except AttemptError as failed:
+                trouble, why, wait, guidance = (
+                    failed.trouble,
+                    str(failed),
+                    failed.retry_after,
+                    failed.guidance,
+                )
             ran = ran or trouble in (FailureKind.LOST, FailureKind.ABORTED)
             turned_away = wait if trouble is FailureKind.REFUSED else turned_away
-            if self.text and trouble is not FailureKind.LOST and not (self.whole and self.repeatable):
+            if self.text and trouble is not FailureKind.LOST and not (self.buffered and self.repeatable):
                 raise Aborted(why, self.text, self.tries)
-            again = attempt.after(trouble, loop.time(), wait, said)
-            if again is None:
+            retry = retry_state.next_attempt(trouble, loop.time(), wait, guidance)
+            if retry is None:
                 raise self.error(trouble, why, turned_away, ran)
-            await asyncio.sleep(again.wait)
-            front = again.front
+            await asyncio.sleep(retry.wait)
+            front = retry.front
 
     def error(self, trouble: FailureKind, why: str, turned_away: float | None, ran: bool) -> CompletionError:
-        """What the caller is told: that nothing has run only where no try may have, or where that does no
-        harm."""
+        """Return the error for the caller.
+
+        RateLimited and NoFront promise that a repeat is safe: they are used only if no attempt may have run,
+        RateLimited also if running twice is safe.
+        """
         if turned_away is not None and (not ran or (self.repeatable and trouble is FailureKind.REFUSED)):
             return RateLimited(why, turned_away, self.text, self.tries)
         if not ran:
--- a/heathford/client/batches.py
+++ b/heathford/client/batches.py
@@ -1,4 +1,4 @@
-"""Files and batches over HTTP: submit, watch, fetch, cancel; the same in the blocking form."""
+"""Client of the files and batches API over HTTP, for asyncio and blocking code."""
 
 import asyncio
 import ssl
@@ -15,18 +15,21 @@
 from heathford.client.answers import Aborted, BadRequest, NoFront
 from heathford.wire.http1 import MalformedMessageError, Response
 
-CONNECT = 2.0  # s
-SILENCE = 60.0  # s that a front may say nothing: it syncs an upload before it answers
-CHUNK = 256 << 10  # bytes of a file sent at once
-LONGEST = 1 << 20  # bytes of a head
-POLL = 0.5, 10.0  # s between two looks at a batch, at first and at the most
+CONNECT_TIMEOUT = 2.0  # s
+MAX_SILENCE = 60.0  # s without data; long, because a front node syncs an upload to disk before it answers
+CHUNK_BYTES = 256 << 10  # of a file sent at once
+MAX_HEAD_BYTES = 1 << 20  # of a response head
+POLL_INTERVALS = 0.5, 10.0  # s between two polls of a batch: the first and the longest
 FINAL_STATUSES = ("completed", "failed", "expired", "cancelled")
-TRIES = 4  # of what changes nothing, or may be done twice: looks, fetches, cancels
-PAUSE = 0.5  # s between them, doubled
+MAX_TRIES = 4  # attempts of a call that is safe to repeat: get, fetch, cancel
+RETRY_PAUSE = 0.5  # s before the first retry, doubled each time
 
 
 class Batches:
-    """One front's files and batches: they are where they were sent. address: http(s)://HOST:PORT"""
+    """The files and batches of one front node; no other front node knows them.
+
+    address: http://HOST:PORT or https://HOST:PORT; member: the tenant that owns them.
+    """
 
     def __init__(self, address: str, member: str = "", tls: ssl.SSLContext | None = None) -> None:
         self.address, self.member, self.tls = address, member, tls
@@ -35,44 +38,47 @@
     async def __aenter__(self) -> Self:
         return self
 
-    async def __aexit__(self, *problem: object) -> None:
+    async def __aexit__(self, *error: object) -> None:
         await self.close()
 
     async def close(self) -> None:
-        """Nothing is kept open between calls."""
+        """Do nothing: no connection is kept between calls."""
 
-    # What is asked.
+    # Calls of the API.
 
     async def upload(self, path: Path, told: Callable[[int], None] = lambda sent: None) -> dict[str, Any]:
-        """Streams the file; told: gets the bytes sent so far. Not tried again by itself: an upload whose
-        answer is lost may be there, and lists show it."""
-        mark = uuid.uuid4().hex
+        """Upload a file; return its description. Raises NoFront, Aborted or BadRequest.
+
+        told: called with the number of bytes sent so far. Not retried, because an upload whose answer was
+        lost may exist; the list of files shows it.
+        """
+        boundary = uuid.uuid4().hex
         name = path.name.replace('"', "_").replace("\r", "_").replace("\n", "_")
         head = (
-            f'--{mark}\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n--{mark}\r\n'
+            f'--{boundary}\r\nContent-Disposition: form-data; name="purpose"\r\n\r\nbatch\r\n--{boundary}\r\n'
             f'Content-Disposition: form-data; name="file"; filename="{name}"\r\n'
             f"Content-Type: application/jsonl\r\n\r\n"
         ).encode()
-        tail = f"\r\n--{mark}--\r\n".encode()
+        tail = f"\r\n--{boundary}--\r\n".encode()
         size = path.stat().st_size
 
         async def send(stream: IOStream) -> None:
             await stream.write(head)
             sent = 0
             with path.open("rb") as file:
-                while data := file.read(CHUNK):
+                while data := file.read(CHUNK_BYTES):
                     await stream.write(data)
                     sent += len(data)
                     told(sent)
             if sent != size:
-                raise BadRequest(f"{path} changed while it was sent")
+                raise BadRequest(f"{path} changed during the upload")
             await stream.write(tail)
 
         return await self.json(
             "POST",
             "/v1/files",
             {
-                "Content-Type": f"multipart/form-data; boundary={mark}",
+                "Content-Type": f"multipart/form-data; boundary={boundary}",
                 "Content-Length": str(len(head) + size + len(tail)),
             },
             send,
@@ -81,7 +87,7 @@
     async def submit(
         self, file: str, window: str = "24h", metadata: dict[str, str] | None = None
     ) -> dict[str, Any]:
-        """Begins a batch. Not tried again by itself: two would be two."""
+        """Create a batch. Not retried, because a second call would create a second batch."""
         return await self.post(
             "/v1/batches",
             {
@@ -97,34 +103,37 @@
         return found
 
     async def watch(self, batch: str) -> AsyncIterator[dict[str, Any]]:
-        """The batch each time it has changed, until it is over. A front that is away is waited for."""
-        wait, last = POLL[0], ""
+        """Yield the batch each time it has changed, until it has a final status.
+
+        A front node that can't be reached is retried as in get().
+        """
+        wait, last = POLL_INTERVALS[0], ""
         while True:
             found = await self.get(batch)
             shown = repr((found["status"], found["request_counts"]))
             if shown != last:
-                wait, last = POLL[0], shown
+                wait, last = POLL_INTERVALS[0], shown
                 yield found
             if found["status"] in FINAL_STATUSES:
                 return
             await asyncio.sleep(wait)
-            wait = min(1.5 * wait, POLL[1])
+            wait = min(1.5 * wait, POLL_INTERVALS[1])
 
     async def cancel(self, batch: str) -> dict[str, Any]:
         found: dict[str, Any] = await self.again(lambda: self.post(f"/v1/batches/{batch}/cancel", {}))
         return found
 
     async def fetch(self, file: str, to: Path) -> int:
-        """Writes a file's content, whole or not at all; its bytes."""
-        part = to.with_name(to.name + ".part")
+        """Write a file's content to a path, completely or not at all; return its size in bytes."""
+        partial = to.with_name(to.name + ".part")
 
         async def once() -> int:
             size = 0
-            with part.open("wb") as out:
+            with partial.open("wb") as output:
 
                 def keep(data: bytes) -> None:
                     nonlocal size
-                    out.write(data)
+                    output.write(data)
                     size += len(data)
 
                 await self.exchange("GET", f"/v1/files/{file}/content", {}, None, keep)
@@ -132,16 +141,16 @@
 
         try:
             found: int = await self.again(once)
-            part.replace(to)
+            partial.replace(to)
         finally:
-            part.unlink(missing_ok=True)
+            partial.unlink(missing_ok=True)
         return found
 
     async def delete(self, file: str) -> dict[str, Any]:
         return await self.json("DELETE", f"/v1/files/{file}", {})
 
     async def entries(self, what: str) -> AsyncIterator[dict[str, Any]]:
-        """All files or batches ("files", "batches"), page by page, newest first."""
+        """Yield all files or batches, newest first; what: "files" or "batches"."""
         after = ""
         while True:
             page = await self.again(
@@ -155,17 +164,17 @@
                 return
             after = f"&after={page['last_id']}"
 
-    # How it is carried.
+    # HTTP.
 
     async def again(self, once: Callable[[], Any]) -> Any:
-        """For what does no harm twice."""
-        for tried in range(TRIES):
+        """Make a call that is safe to repeat; retry it if the front node or the answer was lost."""
+        for tried in range(MAX_TRIES):
             try:
                 return await once()
             except (NoFront, Aborted):
-                if tried + 1 == TRIES:
+                if tried + 1 == MAX_TRIES:
                     raise
-                await asyncio.sleep(PAUSE * 2**tried)
+                await asyncio.sleep(RETRY_PAUSE * 2**tried)
         raise AssertionError
 
     async def post(self, path: str, value: dict[str, Any]) -> dict[str, Any]:
@@ -186,7 +195,7 @@
         try:
             found: dict[str, Any] = orjson.loads(bytes(body))
         except orjson.JSONDecodeError:
-            raise Aborted("no JSON came") from None
+            raise Aborted("the answer is not valid JSON") from None
         return found
 
     async def exchange(
@@ -197,15 +206,15 @@
         send: Callable[[IOStream], Any] | None,
         keep: Callable[[bytes], Any],
     ) -> None:
-        """Raises NoFront, BadRequest, or Aborted where it can't be known what was done."""
+        """Make one HTTP request. Raises NoFront, BadRequest, or Aborted if the request may have been done."""
         host, secure = str(self.url.hostname), self.url.scheme == "https"
         tls = (self.tls or ssl.create_default_context()) if secure else None
         try:
             stream = await TCPClient().connect(
-                host, self.url.port or (443 if secure else 80), timeout=CONNECT, ssl_options=tls
+                host, self.url.port or (443 if secure else 80), timeout=CONNECT_TIMEOUT, ssl_options=tls
             )
-        except (TimeoutError, OSError, StreamClosedError) as problem:
-            raise NoFront(f"{self.address}: {problem!r}") from None
+        except (TimeoutError, OSError, StreamClosedError) as error:
+            raise NoFront(f"{self.address}: {error!r}") from None
         lines = [f"{method} {path} HTTP/1.1", f"Host: {self.url.netloc}", "Connection: close"]
         lines += [f"Heathford-Member: {self.member}"] * bool(self.member)
         lines += [f"{name}: {value}" for name, value in headers.items()]
@@ -214,24 +223,25 @@
             if send:
                 await send(stream)
             await self.answer(stream, keep)
-        except (StreamClosedError, MalformedMessageError, TimeoutError) as problem:
-            raise Aborted(f"the connection was lost: {problem!r}") from None
+        except (StreamClosedError, MalformedMessageError, TimeoutError) as error:
+            raise Aborted(f"the connection was lost: {error!r}") from None
         finally:
             stream.close()
 
     async def answer(self, stream: IOStream, keep: Callable[[bytes], Any]) -> None:
-        response, wrong = Response(LONGEST), bytearray()
+        """Read a response; keep: called with the body of a success. Raises BadRequest or Aborted."""
+        response, error_body = Response(MAX_HEAD_BYTES), bytearray()
         while not response.done:
-            async with asyncio.timeout(SILENCE):
-                data = await stream.read_bytes(CHUNK, partial=True)
+            async with asyncio.timeout(MAX_SILENCE):
+                data = await stream.read_bytes(CHUNK_BYTES, partial=True)
             for part in response.feed(data):
                 if response.status == 200:
                     keep(part)
                 else:
-                    wrong += part
+                    error_body += part
         if response.status != 200:
             try:
-                why = str(orjson.loads(bytes(wrong))["detail"])
+                why = str(orjson.loads(bytes(error_body))["detail"])
             except (orjson.JSONDecodeError, KeyError, TypeError):
                 why = f"status {response.status}"
             if response.status >= 500:
@@ -240,7 +250,7 @@
 
 
 class BlockingBatches:
-    """The same without asyncio: each call runs a loop of its own."""
+    """Batches for blocking code: each call runs its own event loop."""
 
     def __init__(self, address: str, member: str = "", tls: ssl.SSLContext | None = None) -> None:
         self.batches = Batches(address, member, tls)
@@ -261,7 +271,7 @@
         return asyncio.run(self.batches.fetch(file, to))
 
     def watch(self, batch: str) -> Iterator[dict[str, Any]]:
-        """The batch each time it has changed, until it is over."""
+        """Yield the batch each time it has changed, until it has a final status."""
         with asyncio.Runner() as runner:
             watching = self.batches.watch(batch)
             while True:
--- a/heathford/client/blocking.py
+++ b/heathford/client/blocking.py
@@ -1,4 +1,4 @@
-"""The blocking form of a client: a loop in a thread of its own behind ordinary calls."""
+"""A blocking client: an event loop in its own thread behind ordinary calls."""
 
 import asyncio
 import threading
@@ -12,19 +12,23 @@
 
 
 class Blocking:
-    """Blocking(lambda: WebSocketClient([...])): the client is made, and lives, in the loop's thread."""
+    """A blocking form of a client, as Blocking(lambda: WebSocketClient([...])).
+
+    make: called in the event loop's thread, where the client also runs.
+    """
 
     def __init__(self, make: Callable[[], Client]) -> None:
         self.loop = asyncio.new_event_loop()
         self.thread = threading.Thread(target=self.loop.run_forever, name="heathford-client", daemon=True)
         self.thread.start()
 
-        async def begin() -> Client:
+        async def create_client() -> Client:
             return make()
 
-        self.client = self.wait(begin())
+        self.client = self.wait(create_client())
 
     def wait(self, work: Coroutine[Any, Any, Value]) -> Value:
+        """Run a coroutine in the loop's thread and return its result; cancel it if interrupted."""
         future = asyncio.run_coroutine_threadsafe(work, self.loop)
         try:
             return future.result()
@@ -36,14 +40,14 @@
         return self.wait(self.client.complete(model, prompt, **more))
 
     def stream(self, model: str, prompt: str | list[int], **more: Any) -> Iterator[str]:
-        """Text as it comes; leaving it early cancels the completion."""
+        """Yield the text as it is received; leaving the iteration early cancels the request."""
 
-        async def begin() -> Any:
+        async def start_stream() -> Any:
             stream = self.client.stream(model, prompt, **more)
             stream.start()
             return stream
 
-        stream = self.wait(begin())
+        stream = self.wait(start_stream())
         try:
             while (part := self.wait(stream.parts.get())) is not None:
                 yield part
@@ -61,5 +65,5 @@
     def __enter__(self) -> Self:
         return self
 
-    def __exit__(self, *problem: object) -> None:
+    def __exit__(self, *error: object) -> None:
         self.close()
--- a/heathford/client/http.py
+++ b/heathford/client/http.py
@@ -15,22 +15,23 @@
 from heathford.client.retry import FailureKind
 from heathford.wire.http1 import EventStream, MalformedMessageError, Response, json_object, encode_request
 
-CONNECT = 1.0  # s in which a front that is there takes a connection
-GRACE = 0.5  # s beyond its time in which the front's own answer may still come
-SILENCE = 30.0  # s that a stream may say nothing
-VERSION = "2"  # of the protocol that is spoken; a service of the version before passes it over
-LONGEST = 1 << 20  # bytes of a head or an event
+CONNECT_TIMEOUT = 1.0  # s in which a running front node accepts a connection
+ANSWER_GRACE = 0.5  # s after the deadline in which the front node's final answer may still arrive
+MAX_SILENCE = 30.0  # s without data after which a stream counts as lost
+PROTOCOL_VERSION = "2"  # of the protocol; a service of the previous version ignores the header
+MAX_PART_BYTES = 1 << 20  # of a response head or of one event
 READ_BYTES = 65_536
 
 
 class HttpClient(Client):
-    """addresses: http://HOST:PORT or https://HOST:PORT"""
+    """A client over HTTP/1.1; addresses: http://HOST:PORT or https://HOST:PORT."""
 
     def __init__(self, addresses: Sequence[str], *args: Any, **more: Any) -> None:
         super().__init__(addresses, *args, **more)
         self.idle: dict[int, list[IOStream]] = {}
 
     async def connection(self, front: int) -> IOStream:
+        """Return an idle connection to a front node, or a new one. Raises AttemptError."""
         idle = self.idle.setdefault(front, [])
         while idle:
             stream = idle.pop()
@@ -41,10 +42,13 @@
         try:
             secure = (self.tls or ssl.create_default_context()) if url.scheme == "https" else None
             stream = await TCPClient().connect(
-                str(url.hostname), url.port or (443 if secure else 80), timeout=CONNECT, ssl_options=secure
+                str(url.hostname),
+                url.port or (443 if secure else 80),
+                timeout=CONNECT_TIMEOUT,
+                ssl_options=secure,
             )
-        except (TimeoutError, OSError, StreamClosedError) as problem:
-            raise AttemptError(FailureKind.UNREACHED, f"{self.addresses[front]}: {problem!r}") from None
+        except (TimeoutError, OSError, StreamClosedError) as error:
+            raise AttemptError(FailureKind.UNREACHED, f"{self.addresses[front]}: {error!r}") from None
         stream.set_nodelay(True)
         return stream
 
@@ -57,56 +61,57 @@
             "POST",
             "/v1/completions",
             urlsplit(self.addresses[front]).netloc,
-            {"Idempotency-Key": params["idempotency_key"], "Heathford-Version": VERSION},
+            {"Idempotency-Key": params["idempotency_key"], "Heathford-Version": PROTOCOL_VERSION},
             orjson.dumps(body),
         )
         stream = await self.connection(front)
         try:
             await stream.write(data)
-            found = await self.answer(stream, timeout, tell)
-        except StreamClosedError as problem:
-            raise AttemptError(FailureKind.LOST, f"the connection was lost: {problem.real_error}") from None
-        except MalformedMessageError as problem:
+            result = await self.answer(stream, timeout, tell)
+        except StreamClosedError as error:
+            raise AttemptError(FailureKind.LOST, f"the connection was lost: {error.real_error}") from None
+        except MalformedMessageError as error:
             stream.close()
-            raise AttemptError(FailureKind.LOST, f"no answer that can be read: {problem}") from None
+            raise AttemptError(FailureKind.LOST, f"the answer is not valid HTTP: {error}") from None
         except BaseException:
-            stream.close()  # so that the front sees its client go
+            stream.close()  # so that the front node notices that its client has left
             raise
         if stream.closed():
-            return found
+            return result
         self.idle.setdefault(front, []).append(stream)
-        stream.set_close_callback(lambda: None)  # one that closes while idle is seen
-        return found
+        stream.set_close_callback(lambda: None)  # makes tornado notice a close while the connection is idle
+        return result
 
     async def answer(
         self, stream: IOStream, timeout: float, tell: Callable[[str, str], None]
     ) -> tuple[str, str, Any]:
-        response, events = Response(LONGEST), EventStream(LONGEST)
+        """Read the response of one attempt. Raises AttemptError, or BadRequest for an invalid request."""
+        response, events = Response(MAX_PART_BYTES), EventStream(MAX_PART_BYTES)
         body = bytearray()
         completion, reason, usage = "", "", dict[str, Any]()
-        whole, why, retry = False, "", ""
-        wait = timeout + GRACE
+        saw_done, why, retry = False, "", ""
+        wait = timeout + ANSWER_GRACE
         while not response.done:
             try:
                 async with asyncio.timeout(wait):
                     data = await stream.read_bytes(READ_BYTES, partial=True)
             except TimeoutError:
-                raise AttemptError(FailureKind.LOST, "the front did not answer") from None
+                raise AttemptError(FailureKind.LOST, "the front node did not answer in time") from None
             for part in response.feed(data):
                 if response.status != 200:
                     body += part
                     continue
                 for event in events.feed(part):
-                    wait = SILENCE
+                    wait = MAX_SILENCE
                     if event == b"[DONE]":
-                        whole = True
+                        saw_done = True
                         continue
-                    said = orjson.loads(event)
-                    if "error" in said:
-                        why, retry = said["error"]["message"], str(said.get("retry") or "")
+                    message = orjson.loads(event)
+                    if "error" in message:
+                        why, retry = message["error"]["message"], str(message.get("retry") or "")
                         continue
-                    completion, usage = said["id"], said.get("usage") or usage
-                    for choice in said["choices"]:
+                    completion, usage = message["id"], message.get("usage") or usage
+                    for choice in message["choices"]:
                         reason = choice["finish_reason"] or reason
                         if choice["text"]:
                             tell(completion, choice["text"])
@@ -114,20 +119,21 @@
             self.fail(response.status, bytes(body))
         if why:
             raise AttemptError(FailureKind.ABORTED, why, 0.0, retry, completion)
-        if not whole:
-            raise AttemptError(FailureKind.LOST, "the stream ended without saying so")
+        if not saw_done:
+            raise AttemptError(FailureKind.LOST, "the stream ended without its end mark")
         return completion, reason, usage
 
     def fail(self, status: int, body: bytes) -> None:
+        """Raise AttemptError or BadRequest for a response with an error status."""
         try:
-            said = json_object(body)
+            message = json_object(body)
         except MalformedMessageError:
-            said = {}
-        why = str(said.get("detail") or f"status {status}")
-        retry, completion = str(said.get("retry") or ""), str(said.get("completion") or "")
+            message = {}
+        why = str(message.get("detail") or f"status {status}")
+        retry, completion = str(message.get("retry") or ""), str(message.get("completion") or "")
         if status == 429:
             raise AttemptError(
-                FailureKind.REFUSED, why, float(said.get("retry_after") or 0.0), retry, completion
+                FailureKind.REFUSED, why, float(message.get("retry_after") or 0.0), retry, completion
             )
         if 400 <= status < 500:
             raise BadRequest(why)
--- a/heathford/completions/__init__.py
+++ b/heathford/completions/__init__.py
@@ -1,1 +1,1 @@
-"""Completions over HTTP/1.1, by the published completions API: whole, or streamed as server-sent events."""
+"""The published completions API over HTTP/1.1: complete answers, or streams of server-sent events."""
--- a/heathford/completions/handler.py
+++ b/heathford/completions/handler.py
@@ -1,4 +1,4 @@
-"""Carries POST /v1/completions; each request is a session of one completion, on the same core and limits."""
+"""Handles POST /v1/completions; each call is a session with one request, on the same core and limits."""
 
 import asyncio
 from collections.abc import Mapping
@@ -9,57 +9,61 @@
 from tornado.web import RequestHandler
 
 from heathford.completions import responses
-from heathford.sessions.guidance import Retry, after_refusal, told
+from heathford.sessions.guidance import Retry, retry_after_rate_limit, retry_field
 from heathford.sessions.workload_catalog import ParamsError
 from heathford.sessions.session import SessionManager, Session
-from heathford.sessions.versions import BEFORE, HEADER, VersionError, of_header
+from heathford.sessions.versions import PREVIOUS_VERSION, VERSION_HEADER, VersionError, version_from_header
 
-KEY = 0  # the one completion of such a session
+REQUEST_KEY = 0  # of the one request of such a session
 
 
 class CompletionsHandler(RequestHandler):
-    """unsent: bytes that a client may leave untaken before its tokens are merged."""
+    """One call of the API, and the SessionWriter of its session.
+
+    Set up by the routes: desk: the session manager; unsent: bytes written but not sent yet above which the
+    client counts as slow and its tokens are merged; longest: the largest request body, in bytes.
+    """
 
     def initialize(self, desk: SessionManager, unsent: int, longest: int) -> None:
-        self.manager, self.unsent, self.longest = desk, unsent, longest
+        self.manager, self.max_unsent, self.max_body_bytes = desk, unsent, longest
         self.session: Session | None = None
-        self.over = asyncio.Event()
-        self.streams = self.with_usage = self.begun = False
-        self.model, self.version = "", BEFORE
-        self.untaken = 0
+        self.ended = asyncio.Event()
+        self.streaming = self.with_usage = self.started = False
+        self.model, self.version = "", PREVIOUS_VERSION
+        self.unsent_bytes = 0
 
     async def post(self) -> None:
         received = self.manager.now()
         try:
-            self.version = of_header(self.request.headers.get(HEADER))
-        except VersionError as problem:
-            self.say(
+            self.version = version_from_header(self.request.headers.get(VERSION_HEADER))
+        except VersionError as error:
+            self.respond(
                 400,
                 {"Content-Type": responses.PROBLEM_TYPE},
-                responses.problem_body(400, "Bad Request", str(problem), served=problem.served),
+                responses.problem_body(400, "Bad Request", str(error), served=error.served),
             )
             return
-        self.set_header(HEADER, str(self.version))
-        if len(self.request.body) > self.longest:
-            self.say(
+        self.set_header(VERSION_HEADER, str(self.version))
+        if len(self.request.body) > self.max_body_bytes:
+            self.respond(
                 413,
                 {"Content-Type": responses.PROBLEM_TYPE},
-                responses.problem_body(413, "Content Too Large", f"allowed are {self.longest} bytes"),
+                responses.problem_body(413, "Content Too Large", f"allowed are {self.max_body_bytes} bytes"),
             )
             return
         try:
             params = orjson.loads(self.request.body)
-        except orjson.JSONDecodeError as problem:
-            self.bad_request(f"no JSON: {problem}")
+        except orjson.JSONDecodeError as error:
+            self.bad_request(f"no JSON: {error}")
             return
         if not isinstance(params, dict):
             self.bad_request("the body: allowed is an object")
             return
-        streams, options = params.get("stream") or False, params.get("stream_options") or {}
+        streaming, options = params.get("stream") or False, params.get("stream_options") or {}
         key = self.request.headers.get("Idempotency-Key")
         if key is not None:
             params["idempotency_key"] = key
-        if not isinstance(streams, bool) or not isinstance(options, dict):
+        if not isinstance(streaming, bool) or not isinstance(options, dict):
             self.bad_request("stream: allowed is true or false; stream_options: an object")
             return
         try:
@@ -67,94 +71,106 @@
                 self.manager.catalog.parse_request(params),
                 self.manager.catalog.parse_attempt(params),
             )
-        except ParamsError as problem:
-            self.bad_request(str(problem))
+        except ParamsError as error:
+            self.bad_request(str(error))
             return
-        self.streams, self.with_usage = streams, bool(options.get("include_usage"))
+        self.streaming, self.with_usage = streaming, bool(options.get("include_usage"))
         self.model = arguments["body"]["model"]
         self.session = Session(self.manager, self, self.manager.next_session_name())
-        self.session.submit(KEY, arguments, received, len(self.request.body), attempt)
-        await self.over.wait()
+        self.session.submit(REQUEST_KEY, arguments, received, len(self.request.body), attempt)
+        await self.ended.wait()
 
     def on_connection_close(self) -> None:
         if self.session:
             self.session.client_left()
-        self.over.set()
+        self.ended.set()
 
-    def bad_request(self, what: str) -> None:
-        self.say(
-            400, {"Content-Type": responses.PROBLEM_TYPE}, responses.problem_body(400, "Bad Request", what)
+    def bad_request(self, detail: str) -> None:
+        """Answer 400."""
+        self.respond(
+            400, {"Content-Type": responses.PROBLEM_TYPE}, responses.problem_body(400, "Bad Request", detail)
         )
 
-    def say(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
+    def respond(self, status: int, headers: Mapping[str, str], body: bytes) -> None:
+        """Send a complete response, unless the response has ended."""
         if self._finished:
             return
         self.set_status(status)
         for name, value in headers.items():
             self.set_header(name, value)
         if self.session:
-            left = max(0, self.manager.max_active - self.session.active)
+            remaining = max(0, self.manager.max_active - self.session.active)
             self.set_header("RateLimit-Policy", f'"front";q={self.manager.max_active}')
-            self.set_header("RateLimit", f'"front";r={left}')
+            self.set_header("RateLimit", f'"front";r={remaining}')
         self.finish(body)
-        self.over.set()
+        self.ended.set()
 
-    def stream(self, data: bytes, end: bool = False) -> None:
+    def write_events(self, data: bytes, end: bool = False) -> None:
+        """Send events of a stream, with its head before the first; end: these are the last."""
         if self._finished:
             return
-        if not self.begun:
-            self.begun = True
-            self.set_header("Content-Type", responses.STREAM)
+        if not self.started:
+            self.started = True
+            self.set_header("Content-Type", responses.STREAM_TYPE)
             self.set_header("Cache-Control", "no-store")
         self.write(data)
         written: Any = self.finish() if end else self.flush()
-        self.untaken += len(data)
-        written.add_done_callback(lambda done: self.taken(done, len(data)))
+        self.unsent_bytes += len(data)
+        written.add_done_callback(lambda done: self.bytes_sent(done, len(data)))
         if end:
-            self.over.set()
+            self.ended.set()
 
-    def taken(self, done: "asyncio.Future[None]", size: int) -> None:
+    def bytes_sent(self, done: "asyncio.Future[None]", size: int) -> None:
+        """Count written bytes as sent; flush merged tokens when the client is no longer slow."""
         slow = self.slow
-        self.untaken -= size
+        self.unsent_bytes -= size
         if done.cancelled() or isinstance(done.exception(), StreamClosedError | OSError):
             return
         if slow and not self.slow and self.session:
-            self.session.caught_up()
+            self.session.flush_requests()
 
-    # heathford.sessions.session.Voice
+    # heathford.sessions.session.SessionWriter
 
     @property
     def slow(self) -> bool:
-        return self.untaken > self.unsent
+        return self.unsent_bytes > self.max_unsent
 
     def resume_reading(self) -> None:
-        """One completion a request: there is nothing to be kept from sending."""
+        """Do nothing: such a session has one request, so its client is never kept from sending."""
 
     def chunk(self, key: Any, completion: str, text: str) -> None:
-        if self.streams:
-            self.stream(responses.part(completion, self.model, text))
+        if self.streaming:
+            self.write_events(responses.chunk_event(completion, self.model, text))
 
     def finished(self, key: Any, completion: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
-        if self.streams:
-            self.stream(responses.last(completion, self.model, reason, usage, self.with_usage), end=True)
+        if self.streaming:
+            self.write_events(
+                responses.final_events(completion, self.model, reason, usage, self.with_usage), end=True
+            )
         else:
-            self.say(
+            self.respond(
                 200,
                 {"Content-Type": "application/json"},
-                responses.whole(completion, self.model, text, reason, usage),
+                responses.completion_body(completion, self.model, text, reason, usage),
             )
 
     def rate_limited(self, key: Any, completion: str, retry_after: float) -> None:
-        self.say(*responses.refusal(completion, retry_after, **told(after_refusal(), self.version)))
+        self.respond(
+            *responses.rate_limited_response(
+                completion, retry_after, **retry_field(retry_after_rate_limit(), self.version)
+            )
+        )
 
     def aborted(self, key: Any, completion: str, why: str, retry: Retry) -> None:
-        if self.begun:
-            self.stream(responses.broken(completion, why, **told(retry, self.version)), end=True)
+        if self.started:
+            self.write_events(
+                responses.error_event(completion, why, **retry_field(retry, self.version)), end=True
+            )
         else:
-            self.say(*responses.failure(completion, why, **told(retry, self.version)))
+            self.respond(*responses.aborted_response(completion, why, **retry_field(retry, self.version)))
 
     def conflict(self, key: Any) -> None:
-        self.say(
+        self.respond(
             422,
             {"Content-Type": responses.PROBLEM_TYPE},
             responses.problem_body(
@@ -165,5 +181,6 @@
         )
 
 
-def routes(desk: SessionManager, unsent: int, longest: int) -> list[Any]:
-    return [(r"/v1/completions", CompletionsHandler, {"desk": desk, "unsent": unsent, "longest": longest})]
+def routes(manager: SessionManager, unsent: int, longest: int) -> list[Any]:
+    """Return the tornado routes of the API; the arguments are those of CompletionsHandler."""
+    return [(r"/v1/completions", CompletionsHandler, {"desk": manager, "unsent": unsent, "longest": longest})]
--- a/heathford/completions/responses.py
+++ b/heathford/completions/responses.py
@@ -1,4 +1,4 @@
-"""What an HTTP client is told: bodies of the published API, problems by RFC 9457; no I/O."""
+"""Responses of the published completions API; errors as problem details (RFC 9457). Does no I/O."""
 
 from collections.abc import Mapping
 from math import ceil
@@ -7,16 +7,22 @@
 import orjson
 
 PROBLEM_TYPE = "application/problem+json"
-STREAM = "text/event-stream"
-FINISHED, RATE_LIMITED, ABORTED = "finished", "rate-limited", "aborted"
+STREAM_TYPE = "text/event-stream"
+FINISHED, RATE_LIMITED, ABORTED = "finished", "rate-limited", "aborted"  # final answers
 
 
 def problem_body(status: int, title: str, detail: str, **more: Any) -> bytes:
+    """Return a problem details body with further fields."""
     return orjson.dumps({"type": "about:blank", "title": title, "status": status, "detail": detail, **more})
 
 
-def refusal(completion: str, retry_after: float, **more: Any) -> tuple[int, dict[str, str], bytes]:
-    """429: a new try does no harm, after `retry_after` s. The header knows whole seconds, the body more."""
+def rate_limited_response(
+    completion: str, retry_after: float, **more: Any
+) -> tuple[int, dict[str, str], bytes]:
+    """Return status 429, headers and body: a repeat is safe after `retry_after` s.
+
+    The Retry-After header allows only whole seconds; the body has the exact value.
+    """
     more |= {"completion": completion} if completion else {}
     return (
         429,
@@ -27,8 +33,8 @@
     )
 
 
-def failure(completion: str, why: str, **more: Any) -> tuple[int, dict[str, str], bytes]:
-    """502: no promise about what has run."""
+def aborted_response(completion: str, why: str, **more: Any) -> tuple[int, dict[str, str], bytes]:
+    """Return status 502, headers and body: the request may have run."""
     return (
         502,
         {"Content-Type": PROBLEM_TYPE},
@@ -36,7 +42,8 @@
     )
 
 
-def whole(completion: str, model: str, text: str, reason: str, usage: Mapping[str, Any]) -> bytes:
+def completion_body(completion: str, model: str, text: str, reason: str, usage: Mapping[str, Any]) -> bytes:
+    """Return the body of a complete answer."""
     return orjson.dumps(
         {
             "id": completion,
@@ -49,8 +56,9 @@
     )
 
 
-def part(completion: str, model: str, text: str) -> bytes:
-    return event(
+def chunk_event(completion: str, model: str, text: str) -> bytes:
+    """Return the event of one piece of a streamed answer."""
+    return format_event(
         {
             "id": completion,
             "object": "text_completion",
@@ -60,8 +68,11 @@
     )
 
 
-def last(completion: str, model: str, reason: str, usage: Mapping[str, Any], with_usage: bool) -> bytes:
-    end = event(
+def final_events(
+    completion: str, model: str, reason: str, usage: Mapping[str, Any], with_usage: bool
+) -> bytes:
+    """Return the events that end a stream: the final answer, the usage if asked for, and [DONE]."""
+    end = format_event(
         {
             "id": completion,
             "object": "text_completion",
@@ -71,15 +82,15 @@
         }
     )
     if with_usage:
-        end += event(
+        end += format_event(
             {"id": completion, "object": "text_completion", "model": model, "choices": [], "usage": usage}
         )
     return end + b"data: [DONE]\n\n"
 
 
-def broken(completion: str, why: str, **more: Any) -> bytes:
-    """A stream that ends without an answer: an error event, and no [DONE]."""
-    return event(
+def error_event(completion: str, why: str, **more: Any) -> bytes:
+    """Return the event that ends a stream without an answer; no [DONE] follows."""
+    return format_event(
         {
             "error": {"message": why, "type": ABORTED, "code": ABORTED},
             "id": completion,
@@ -89,5 +100,6 @@
     )
 
 
-def event(value: Mapping[str, Any]) -> bytes:
+def format_event(value: Mapping[str, Any]) -> bytes:
+    """Return a server-sent event with JSON data."""
     return b"data: " + orjson.dumps(value) + b"\n\n"
--- a/heathford/sessions/__init__.py
+++ b/heathford/sessions/__init__.py
@@ -1,1 +1,1 @@
-"""WebSocket sessions (RFC 6455) that speak JSON-RPC 2.0, with bodies of the published completions API."""
+"""WebSocket sessions (RFC 6455) with JSON-RPC 2.0 messages and bodies of the published completions API."""
--- a/heathford/sessions/fair_queue.py
+++ b/heathford/sessions/fair_queue.py
@@ -1,13 +1,15 @@
-"""How members and their sessions share a front that is short; no I/O.
-
-A window bounds how many completions the front has let in that have no first token yet. What goes beyond waits
-here for a part of its latency target, then is rate-limited. A place that comes free goes to the member with
-the fewest in the window, there to its sessions in turn: a member that floods waits behind itself, and the
-decisions never see more than can be answered in time. A member that asks well under an even part of what is
-let in does not wait at all: it is not what fills the front.
-
-The window's size is learned from answers, in the form of DCTCP (RFC 8257): once a round, it shrinks by the
-share of answers that were slow for their target, averaged over rounds; else it grows, if it held any back.
+"""Shares a front node that is short of capacity fairly among tenants and their sessions. Does no I/O.
+
+A window bounds the number of admitted requests that have no first token yet. Further requests wait here for a
+share of their latency target and are then rate-limited. A free place goes to the tenant with the fewest
+requests in the window, and within the tenant to its sessions in turn (round-robin). So a tenant that floods
+the front node delays only itself, and the router never gets more than can be answered in time. A tenant whose
+request rate is well under its even share of the admissions does not wait at all, as it is not the cause of
+the overload.
+
+The size of the window follows the latency of answers as in DCTCP (RFC 8257): once per round it shrinks by the
+share of answers that were slow for their target, averaged over rounds; otherwise it grows if it held requests
+back.
 """
 
 import heapq
@@ -16,185 +18,224 @@
 from math import ceil, exp2
 from typing import Generic, TypeVar
 
-INITIAL_WINDOW = (
-    4.0  # completions in the window at first: as many may miss before the decisions turn any away
-)
-MIN_WINDOW = 2.0  # at the least: with fewer let in, little is learned
-GAIN = 0.25  # weight of one round in the share of slow answers
-ROUND = 8  # answers that a round needs at least: one slow of two or three is chance
-CHANCE = 0.1  # share of slow answers in a round that may be chance
-GROWTH = 0.05  # share by which a window grows in a good round beyond the size at which it last shrank
-BACK = 0.25  # share of the way back there that it goes in a good round
-SLOW = 0.25  # share of its latency target after which a first token is slow: others' targets may be tighter
-PACE = 0.5  # share of the time wanted for its tokens beyond which a stream is slow
-QUIET = 1.5  # times the usual part in quiet times that is slow, where that is more: a target may be tight
-QUIET_GAIN = 0.05  # weight of one answer in the usual part: twenty count
-USED = 0.5  # share of the window in use from which its answers tell anything of it
-UNDER = 0.5  # share of an even part up to which a member does not wait; equal members are never all under it
-HALF_LIFE = 5.0  # s, of what members ask and what is let in, as the decisions count them
-WAIT = 0.4  # share of its latency target that a completion waits here: it must still be read in time
+# Requests in the window at the start: as many may miss their target before the router sheds any.
+INITIAL_WINDOW = 4.0
+MIN_WINDOW = 2.0  # requests; fewer give too few answers to learn from
+SLOW_SHARE_GAIN = 0.25  # weight of one round in the average share of slow answers
+MIN_ROUND_ANSWERS = 8  # in a smaller round, one slow answer of two or three can be chance
+TOLERATED_SLOW_SHARE = 0.1  # share of slow answers in a round that can be chance
+MIN_GROWTH = 0.05  # share by which the window grows in a good round beyond the size at which it last shrank
+RECOVERY_SHARE = 0.25  # share of the distance to that size by which it grows in a good round
+# Share of its latency target beyond which a first token is slow; low, as other targets may be tighter.
+SLOW_LATENCY_SHARE = 0.25
+SLOW_PACE = 0.5  # share of the target time per token beyond which a stream is slow
+# Multiple of the usual latency share at low load beyond which a first token is slow, if that is more than
+# SLOW_LATENCY_SHARE: a target may be so tight that answers take more than that share even without load.
+SLOW_USUAL_MULTIPLE = 1.5
+USUAL_LATENCY_GAIN = 0.05  # weight of one answer in the usual latency share: about the last twenty count
+MIN_USED_SHARE = 0.5  # share of the window in use above which answers say something about its size
+# Share of an even part of the admissions up to which a tenant does not wait; below 1, so that tenants with
+# equal rates are never all exempt.
+LIGHT_TENANT_SHARE = 0.5
+HALF_LIFE = 5.0  # s, of the counts of requests and of admissions, as in the router
+MAX_WAIT_SHARE = 0.4  # share of its latency target that a request may wait, so that prefill still fits in
 
 
 class Window:
-    """How many may be out without a first token."""
+    """The number of admitted requests without a first token, and what is known of the current round."""
 
     def __init__(self) -> None:
         self.size = INITIAL_WINDOW
-        self.top = float("inf")  # the size at which it last shrank
-        self.slow_share = 1.0
-        self.usual = SLOW / QUIET
+        self.size_at_last_shrink = float("inf")
+        self.average_slow_share = 1.0
+        self.usual_latency_share = SLOW_LATENCY_SHARE / SLOW_USUAL_MULTIPLE
         self.begin_round(float("-inf"))
 
     def begin_round(self, now: float) -> None:
-        self.since, self.answers, self.slow = now, 0, 0
-        self.used, self.held_back = 0, False
+        """Start a round of answers; only one admitted since then ends it."""
+        self.round_start, self.answers, self.slow = now, 0, 0
+        self.max_in_window, self.held_back = 0, False
 
-    def counts(self, slow: bool) -> None:
+    def count_answer(self, slow: bool) -> None:
+        """Count an answer in the current round."""
         self.answers += 1
         self.slow += slow
 
-    def answered(self, let_in: float, part: float, out: int, now: float) -> None:
-        """One let in then got its first token after `part` of its latency target; infinite: none in time."""
-        if out <= USED * self.size:
-            self.usual += QUIET_GAIN * (min(part, 1.0) - self.usual)
-        self.counts(part > min(1.0, max(SLOW, QUIET * self.usual)))
-        self.used = max(self.used, out)
-        if let_in < self.since or self.answers < ROUND:
+    def record_first_token(
+        self, admitted_at: float, latency_share: float, in_window: int, now: float
+    ) -> None:
+        """Record the first token of a request; end the round and adapt the size if it is complete.
+
+        latency_share: latency as a share of its target; infinite if the request had no first token in time.
+        """
+        if in_window <= MIN_USED_SHARE * self.size:
+            self.usual_latency_share += USUAL_LATENCY_GAIN * (
+                min(latency_share, 1.0) - self.usual_latency_share
+            )
+        self.count_answer(
+            latency_share > min(1.0, max(SLOW_LATENCY_SHARE, SLOW_USUAL_MULTIPLE * self.usual_latency_share))
+        )
+        self.max_in_window = max(self.max_in_window, in_window)
+        if admitted_at < self.round_start or self.answers < MIN_ROUND_ANSWERS:
             return
-        found = self.slow / self.answers
-        self.slow_share += GAIN * (found - self.slow_share)
-        if found > CHANCE and self.used > USED * self.size:
-            self.top = self.size
-            self.size = max(MIN_WINDOW, self.size * (1.0 - self.slow_share / 2))
-        elif found <= CHANCE and self.held_back:
-            way = self.top - self.size  # by half a round until it has shrunk once
-            self.size += max(GROWTH * self.size, min(BACK * way, self.size / 2))
+        round_slow_share = self.slow / self.answers
+        self.average_slow_share += SLOW_SHARE_GAIN * (round_slow_share - self.average_slow_share)
+        if round_slow_share > TOLERATED_SLOW_SHARE and self.max_in_window > MIN_USED_SHARE * self.size:
+            self.size_at_last_shrink = self.size
+            self.size = max(MIN_WINDOW, self.size * (1.0 - self.average_slow_share / 2))
+        elif round_slow_share <= TOLERATED_SLOW_SHARE and self.held_back:
+            distance = (
+                self.size_at_last_shrink - self.size
+            )  # infinite before the first shrink: it grows by half
+            self.size += max(MIN_GROWTH * self.size, min(RECOVERY_SHARE * distance, self.size / 2))
         self.begin_round(now)
 
 
-class Rate:
-    """How many lately, older ones fading."""
+class DecayingCount:
+    """A count of recent events that decays with a half-life of HALF_LIFE."""
 
-    __slots__ = ("at", "count")
+    __slots__ = ("count", "updated")
 
     def __init__(self) -> None:
-        self.count, self.at = 0.0, 0.0
+        self.count, self.updated = 0.0, 0.0
 
-    def add(self, now: float) -> None:
-        self.count, self.at = self.lately(now) + 1.0, now
+    def increment(self, now: float) -> None:
+        """Count an event."""
+        self.count, self.updated = self.current(now) + 1.0, now
 
-    def lately(self, now: float) -> float:
-        return self.count * exp2((self.at - now) / HALF_LIFE)
+    def current(self, now: float) -> float:
+        """Return the decayed count."""
+        return self.count * exp2((self.updated - now) / HALF_LIFE)
 
 
 Item = TypeVar("Item", bound=Hashable)
 
 
-class Member(Generic[Item]):
-    __slots__ = ("asked", "out", "sessions", "turn")
+class TenantQueue(Generic[Item]):
+    """The waiting requests of one tenant by session, and its use of the window."""
+
+    __slots__ = ("in_window", "last_turn", "recent_requests", "sessions")
 
     def __init__(self) -> None:
-        self.asked = Rate()
-        self.out = 0  # in the window
-        self.turn = 0  # when it last got a place
-        self.sessions: dict[object, deque[Item]] = {}  # waiting; the first is next
+        self.recent_requests = DecayingCount()
+        self.in_window = 0  # admitted requests without a first token
+        self.last_turn = 0  # number of its last admission
+        self.sessions: dict[object, deque[Item]] = {}  # waiting requests; the first session is next
 
 
 class FairQueue(Generic[Item]):
+    """The queue of requests of all tenants in front of the router.
+
+    in_window: admitted requests without a first token; shed_count: requests that expired here.
+    """
+
     def __init__(self) -> None:
         self.window = Window()
-        self.members: dict[int, Member[Item]] = {}  # that asked lately, or have any here
+        self.tenants: dict[int, TenantQueue[Item]] = {}  # with recent requests, or any here
         self.waiting: dict[Item, tuple[int, object]] = {}
-        self.until: list[tuple[float, int, Item]] = []
-        self.let_in = Rate()
-        self.pruned = 0.0
-        self.out = self.count = self.turned_away = 0
-
-    def asks(self, member: int, session: object, item: Item, now: float, until: float) -> None:
-        """It waits until then; next() says when it is let in, late() that it never is."""
-        flow = self.members.setdefault(member, Member())
-        flow.asked.add(now)
-        flow.sessions.setdefault(session, deque()).append(item)
-        self.waiting[item] = member, session
+        self.expiries: list[tuple[float, int, Item]] = []
+        self.recent_admissions = DecayingCount()
+        self.last_pruned = 0.0
+        self.in_window = self.count = self.shed_count = 0
+
+    def add(self, tenant: int, session: object, item: Item, now: float, expiry: float) -> None:
+        """Add a request: pop_next() returns it when it is admitted, or pop_expired() after its expiry."""
+        tenant_queue = self.tenants.setdefault(tenant, TenantQueue())
+        tenant_queue.recent_requests.increment(now)
+        tenant_queue.sessions.setdefault(session, deque()).append(item)
+        self.waiting[item] = tenant, session
         self.count += 1
-        heapq.heappush(self.until, (until, self.count, item))
+        heapq.heappush(self.expiries, (expiry, self.count, item))
 
-    def next(self, now: float) -> Item | None:
-        """Lets the next in, where there is room."""
-        waiting = [m for m in self.members.values() if m.sessions]
+    def pop_next(self, now: float) -> Item | None:
+        """Admit the next request, if there is room; return it."""
+        waiting = [m for m in self.tenants.values() if m.sessions]
         if not waiting:
             return None
-        flow = min(waiting, key=lambda m: (m.out, m.turn))
-        # Each member has its even part of the window, whoever fills the rest: it need not wait for a place.
-        part = self.window.size / len(self.members)
-        if self.out >= int(self.window.size) and flow.out >= (ceil(part) if part >= 1.0 else 0):
+        tenant_queue = min(waiting, key=lambda m: (m.in_window, m.last_turn))
+        # Each tenant may use its even share of the window without waiting, whoever uses the rest.
+        even_share = self.window.size / len(self.tenants)
+        if self.in_window >= int(self.window.size) and tenant_queue.in_window >= (
+            ceil(even_share) if even_share >= 1.0 else 0
+        ):
             self.window.held_back = True
-            even = UNDER * self.let_in.lately(now) / len(self.members)
-            under = [m for m in waiting if m.asked.lately(now) <= even]
-            if not under:
+            light_limit = LIGHT_TENANT_SHARE * self.recent_admissions.current(now) / len(self.tenants)
+            light_tenants = [m for m in waiting if m.recent_requests.current(now) <= light_limit]
+            if not light_tenants:
                 return None
-            flow = min(under, key=lambda m: (m.out, m.turn))
-        session = next(iter(flow.sessions))
-        queue = flow.sessions.pop(session)
+            tenant_queue = min(light_tenants, key=lambda m: (m.in_window, m.last_turn))
+        session = next(iter(tenant_queue.sessions))
+        queue = tenant_queue.sessions.pop(session)
         item = queue.popleft()
         if queue:
-            flow.sessions[session] = queue
+            tenant_queue.sessions[session] = queue
         del self.waiting[item]
         self.count += 1
-        flow.turn = self.count
-        flow.out += 1
-        self.out += 1
-        self.let_in.add(now)
+        tenant_queue.last_turn = self.count
+        tenant_queue.in_window += 1
+        self.in_window += 1
+        self.recent_admissions.increment(now)
         return item
 
-    def late(self, now: float) -> list[Item]:
-        """Takes out those that have waited as long as they may."""
-        found = []
-        if now >= self.pruned + HALF_LIFE:
-            self.pruned = now
-            for member in list(self.members):
-                self.prune(member, now)
-        while self.until and (self.until[0][0] <= now or self.until[0][2] not in self.waiting):
-            item = heapq.heappop(self.until)[2]
-            if self.take_out(item, now):
-                found.append(item)
-        self.turned_away += len(found)
-        return found
+    def pop_expired(self, now: float) -> list[Item]:
+        """Remove and return the requests that have waited until their expiry; drop idle tenants."""
+        expired = []
+        if now >= self.last_pruned + HALF_LIFE:
+            self.last_pruned = now
+            for tenant in list(self.tenants):
+                self.drop_if_idle(tenant, now)
+        while self.expiries and (self.expiries[0][0] <= now or self.expiries[0][2] not in self.waiting):
+            item = heapq.heappop(self.expiries)[2]
+            if self.discard(item, now):
+                expired.append(item)
+        self.shed_count += len(expired)
+        return expired
 
     @property
-    def due(self) -> float | None:
-        """When late() has something to say, at the latest."""
-        return self.until[0][0] if self.until else None
-
-    def take_out(self, item: Item, now: float) -> bool:
-        """One that waits is wanted no more; False where it doesn't wait."""
-        place = self.waiting.pop(item, None)
-        if place is None:
+    def next_expiry(self) -> float | None:
+        """The latest time for the next call of pop_expired(), if any request waits."""
+        return self.expiries[0][0] if self.expiries else None
+
+    def discard(self, item: Item, now: float) -> bool:
+        """Remove a request; return whether it was waiting."""
+        entry = self.waiting.pop(item, None)
+        if entry is None:
             return False
-        member, session = place
-        flow = self.members[member]
-        flow.sessions[session].remove(item)
-        if not flow.sessions[session]:
-            del flow.sessions[session]
-        self.prune(member, now)
+        tenant, session = entry
+        tenant_queue = self.tenants[tenant]
+        tenant_queue.sessions[session].remove(item)
+        if not tenant_queue.sessions[session]:
+            del tenant_queue.sessions[session]
+        self.drop_if_idle(tenant, now)
         return True
 
-    def answered(self, member: int, let_in: float, part: float, now: float) -> None:
-        """One that was let in has its first token, after `part` of its target; infinite: it has none."""
-        self.window.answered(let_in, part, self.out, now)
-        self.gone(member, now)
-
-    def streamed(self, part: float) -> None:
-        """A whole answer took so much of the time wanted for its tokens: too many beside it are slow too."""
-        self.window.counts(part > PACE)
-
-    def gone(self, member: int, now: float) -> None:
-        """One that was let in ended otherwise, which tells nothing of room."""
-        self.out -= 1
-        self.members[member].out -= 1
-        self.prune(member, now)
-
-    def prune(self, member: int, now: float) -> None:
-        flow = self.members[member]
-        if not flow.out and not flow.sessions and flow.asked.lately(now) < 1.0:
-            del self.members[member]
+    def record_first_token(self, tenant: int, admitted_at: float, latency_share: float, now: float) -> None:
+        """Record the first token of an admitted request, and free its place in the window.
+
+        latency_share: latency as a share of its target; infinite if it ended without a first token.
+        """
+        self.window.record_first_token(admitted_at, latency_share, self.in_window, now)
+        self.release(tenant, now)
+
+    def record_stream_pace(self, pace: float) -> None:
+        """Record the time per token of a finished stream as a share of its target.
+
+        Streams are slow if too many run at once, so a slow one counts as a slow answer.
+        """
+        self.window.count_answer(pace > SLOW_PACE)
+
+    def release(self, tenant: int, now: float) -> None:
+        """Free the place of an admitted request that ended in a way that says nothing about the load."""
+        self.in_window -= 1
+        self.tenants[tenant].in_window -= 1
+        self.drop_if_idle(tenant, now)
+
+    def drop_if_idle(self, tenant: int, now: float) -> None:
+        """Forget a tenant without requests here and without recent ones."""
+        tenant_queue = self.tenants[tenant]
+        if (
+            not tenant_queue.in_window
+            and not tenant_queue.sessions
+            and tenant_queue.recent_requests.current(now) < 1.0
+        ):
+            del self.tenants[tenant]
--- a/heathford/sessions/guidance.py
+++ b/heathford/sessions/guidance.py
@@ -1,34 +1,38 @@
-"""What a client is told of trying again, the same on both protocols since version 2; no I/O."""
+"""Guidance for clients on repeating a request, the same in both protocols since version 2. Does no I/O."""
 
 from enum import Enum
 
 from heathford.interface import Effect
-from heathford.sessions.versions import BEFORE
+from heathford.sessions.versions import PREVIOUS_VERSION
 
 
 class Retry(Enum):
-    """Where a new try does no harm, with the key of the first."""
+    """Where a repeat with the same idempotency key is safe."""
 
     ANYWHERE = "anywhere"
-    HERE = "here"  # at this front alone: only it knows what is out
+    HERE = "here"  # only at this front node, as only it knows the request in progress
     NEVER = "never"
 
 
-def told(retry: Retry, version: int) -> dict[str, str]:
-    """The field that says it, in the versions that have it."""
-    return {"retry": retry.value} if version > BEFORE else {}
+def retry_field(retry: Retry, version: int) -> dict[str, str]:
+    """Return the guidance as a field, or no field in versions that don't have it."""
+    return {"retry": retry.value} if version > PREVIOUS_VERSION else {}
 
 
-def after_refusal() -> Retry:
+def retry_after_rate_limit() -> Retry:
+    """Return the guidance for a rate-limited request: nothing of it has run."""
     return Retry.ANYWHERE
 
 
-def after_abort(effect: Effect) -> Retry:
-    """Of one that ended without an answer: it may have run. What this front remembers of one that must not
-    run twice is this abort, and other fronts know nothing of it."""
+def retry_after_abort(effect: Effect) -> Retry:
+    """Return the guidance for an aborted request, which may have run.
+
+    A request that must not run twice can't be repeated: this front node would answer with the same abort, and
+    other front nodes don't know the request.
+    """
     return Retry.ANYWHERE if effect is Effect.IDEMPOTENT else Retry.NEVER
 
 
-def still_out() -> Retry:
-    """Of a repeat whose own time is over while the first goes on."""
+def retry_while_in_progress() -> Retry:
+    """Return the guidance for a repeat that timed out while the request itself is still in progress."""
     return Retry.HERE
--- a/heathford/sessions/protocol.py
+++ b/heathford/sessions/protocol.py
@@ -1,8 +1,9 @@
-"""RFC 6455 as Tornado speaks it, with every check of the RFC and the close code that it names.
+"""Tornado's implementation of RFC 6455, extended to every check of the RFC and the close codes that it names.
 
-Tornado leaves some checks out (masks, lengths written longer than need be, close codes), ends many
-violations without a close frame, and forgets that a message is compressed when a control frame comes between
-its fragments. Only what reads frames is replaced here; handshake, compression and writing are Tornado's.
+Tornado omits some checks (masks, lengths not in their shortest form, close codes), ends the connection after
+many violations without a close frame, and forgets that a message is compressed if a control frame arrives
+between its fragments. Only the reading of frames is replaced here; handshake, compression and writing are
+Tornado's.
 """
 
 import zlib
@@ -12,10 +13,10 @@
 from tornado.util import _websocket_mask
 from tornado.websocket import WebSocketProtocol13
 
-PROTOCOL, DATA, TOO_BIG = 1002, 1007, 1009  # close codes
-READ_BYTES = 65_536  # bytes thrown away at once after a failure
-COMPRESS_FROM = 512  # bytes: below, deflate costs more time than it saves on the way
-DEFLATE = frozenset(
+CLOSE_PROTOCOL_ERROR, CLOSE_INVALID_DATA, CLOSE_TOO_BIG = 1002, 1007, 1009
+READ_BYTES = 65_536  # discarded at once after a failure
+MIN_COMPRESSED_BYTES = 512  # for shorter messages, deflate takes more time than it saves in transfer
+DEFLATE_PARAMETERS = frozenset(
     {
         "server_no_context_takeover",
         "client_no_context_takeover",
@@ -23,21 +24,28 @@
         "client_max_window_bits",
     }
 )
-MOST_CONTROL = 125  # bytes
+MAX_CONTROL_BYTES = 125  # of the payload of a control frame
 
 
 class ProtocolError(Exception):
+    """A violation of the RFC. The text is sent as the reason of the close frame with the given code."""
+
     def __init__(self, code: int, why: str) -> None:
         super().__init__(why)
         self.code = code
 
 
 def close_code_allowed(code: int) -> bool:
-    """RFC 6455, 7.4: those it defines for use on the wire, and the ranges for registered and private use."""
+    """Return whether a close code may be sent (RFC 6455, section 7.4).
+
+    These are the codes defined for use on the wire and the ranges for registered and private use.
+    """
     return code in (1000, 1001, 1002, 1003, *range(1007, 1015)) or 3000 <= code < 5000
 
 
 class StrictProtocol(WebSocketProtocol13):
+    """The server side of one connection; after a violation it closes with the code that the RFC names."""
+
     failed = False
     message_opcode = 0
     message_compressed = False
@@ -45,17 +53,19 @@
     # Handshake.
 
     def _parse_extensions_header(self, headers: Any) -> list[tuple[str, dict[str, Any]]]:
-        """Takes up a deflate offer that can be, and asks both sides to keep no dictionary between messages: a
-        kept one costs some 300 KB a session, idle or not."""
-        taken = []
+        """Accept the first valid deflate offer, without context takeover in either direction.
+
+        A dictionary kept between messages would cost about 300 KB per session, idle or not.
+        """
+        accepted = []
         for name, offered in super()._parse_extensions_header(headers):
             bits: Any = offered.get("server_max_window_bits", "15")
             if (
                 name == "permessage-deflate"
-                and set(offered) <= DEFLATE
+                and set(offered) <= DEFLATE_PARAMETERS
                 and str(bits).isdigit()
                 and (9 <= int(bits) <= 15)
-                and self.client_bits_good(offered)
+                and self.valid_client_bits(offered)
             ):
                 agreed: dict[str, Any] = {
                     "server_no_context_takeover": None,
@@ -63,37 +73,40 @@
                 }
                 if "server_max_window_bits" in offered:
                     agreed["server_max_window_bits"] = bits
-                taken.append((name, agreed))
+                accepted.append((name, agreed))
                 break
-        return taken
+        return accepted
 
     @staticmethod
-    def client_bits_good(offered: dict[str, Any]) -> bool:
+    def valid_client_bits(offered: dict[str, Any]) -> bool:
         bits: Any = offered.get("client_max_window_bits")
         return bits is None or (str(bits).isdigit() and 8 <= int(bits) <= 15)
 
     # Reading.
 
-    def fail(self, failure: ProtocolError) -> None:
-        """Says why and reads on without listening, so that the other side gets the close frame: a socket
-        closed over unread bytes would be reset, and the frame lost."""
+    def fail_connection(self, error: ProtocolError) -> None:
+        """Send a close frame, then read and discard further data.
+
+        A socket closed with unread data would be reset, and the close frame lost.
+        """
         self.failed = True
         self._fragmented_message_buffer = None
-        self.close(failure.code, str(failure))
+        self.close(error.code, str(error))
 
     async def _receive_frame(self) -> None:
         if self.failed:
             await self.stream.read_bytes(READ_BYTES, partial=True)
             return
         try:
-            handled = await self.one_frame()
-        except ProtocolError as failure:
-            self.fail(failure)
+            handled = await self.read_frame()
+        except ProtocolError as error:
+            self.fail_connection(error)
             return
         if handled is not None:
             await handled
 
-    async def one_frame(self) -> "Future[None] | None":
+    async def read_frame(self) -> "Future[None] | None":
+        """Read and handle one frame; return what to wait for, if anything. Raises ProtocolError."""
         first, second = await self._read_bytes(2)
         final, opcode, length = bool(first & self.FIN), first & self.OPCODE_MASK, second & 0x7F
         reserved, control = first & self.RSV_MASK, opcode >= 8
@@ -101,21 +114,21 @@
         if self._decompressor is not None and opcode in (1, 2) and reserved & self.RSV1:
             compressed, reserved = True, reserved & ~self.RSV1
         if reserved:
-            raise ProtocolError(PROTOCOL, "a reserved bit is set")
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a reserved bit is set")
         if opcode not in (0, 1, 2, 8, 9, 10):
-            raise ProtocolError(PROTOCOL, "a reserved opcode")
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a reserved opcode")
         if not second & 0x80:
-            raise ProtocolError(PROTOCOL, "a frame without a mask")
-        if control and (length > MOST_CONTROL or not final):
-            raise ProtocolError(PROTOCOL, "a control frame in parts or too long")
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a frame without a mask")
+        if control and (length > MAX_CONTROL_BYTES or not final):
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a control frame in parts or too long")
         if opcode == 0 and self._fragmented_message_buffer is None:
-            raise ProtocolError(PROTOCOL, "nothing to continue")
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "nothing to continue")
         if opcode in (1, 2) and self._fragmented_message_buffer is not None:
-            raise ProtocolError(PROTOCOL, "a message inside another")
-        length = await self.whole_length(length)
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a message inside another")
+        length = await self.read_length(length)
         so_far = len(self._fragmented_message_buffer or b"") if not control else 0
         if length + so_far > self.params.max_message_size:
-            raise ProtocolError(TOO_BIG, "message too big")
+            raise ProtocolError(CLOSE_TOO_BIG, "message too big")
         mask = await self._read_bytes(4)
         data = _websocket_mask(mask, await self._read_bytes(length)) if length else b""
         if control:
@@ -134,47 +147,50 @@
         self._fragmented_message_buffer = None
         return self.message(bytes(buffer))
 
-    async def whole_length(self, length: int) -> int:
+    async def read_length(self, length: int) -> int:
+        """Return the payload length, given its first 7 bits. Raises ProtocolError."""
         if length < 126:
             return length
-        size, least = (2, 126) if length == 126 else (8, 65_536)
-        whole = int.from_bytes(await self._read_bytes(size))
-        if whole < least or whole >= 1 << 63:
-            raise ProtocolError(PROTOCOL, "a length not written in the fewest bytes")
-        return whole
+        size, minimum = (2, 126) if length == 126 else (8, 65_536)
+        extended = int.from_bytes(await self._read_bytes(size))
+        if extended < minimum or extended >= 1 << 63:
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a length not written in the fewest bytes")
+        return extended
 
     def message(self, data: bytes) -> "Future[None] | None":
+        """Pass a complete message to the handler. Raises ProtocolError."""
         if self.message_compressed:
             assert self._decompressor is not None
             try:
                 data = self._decompressor.decompress(data)
             except zlib.error:
-                raise ProtocolError(DATA, "compressed data that can't be read") from None
-            except Exception:  # Tornado's own, for what grows beyond the bound
-                raise ProtocolError(TOO_BIG, "message too big after decompression") from None
+                raise ProtocolError(CLOSE_INVALID_DATA, "compressed data that can't be read") from None
+            except Exception:  # Tornado's private error for data that exceeds the size limit
+                raise ProtocolError(CLOSE_TOO_BIG, "message too big after decompression") from None
         if self.message_opcode == 1:
             try:
                 return self._run_callback(self.handler.on_message, data.decode())
             except UnicodeDecodeError:
-                raise ProtocolError(DATA, "text that is not UTF-8") from None
+                raise ProtocolError(CLOSE_INVALID_DATA, "text that is not UTF-8") from None
         return self._run_callback(self.handler.on_message, data)
 
     def control_frame(self, opcode: int, data: bytes) -> "Future[None] | None":
+        """Handle a close, ping or pong frame. Raises ProtocolError."""
         if opcode == 9:
             self._send_pong(data)
             return self._run_callback(self.handler.on_ping, data)
         if opcode == 10:
             return self._run_callback(self.handler.on_pong, data)
         if len(data) == 1:
-            raise ProtocolError(PROTOCOL, "a close frame with half a code")
+            raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a close frame with half a code")
         if data:
             code = int.from_bytes(data[:2])
             if not close_code_allowed(code):
-                raise ProtocolError(PROTOCOL, "a close code that may not be sent")
+                raise ProtocolError(CLOSE_PROTOCOL_ERROR, "a close code that may not be sent")
             try:
                 reason = data[2:].decode()
             except UnicodeDecodeError:
-                raise ProtocolError(DATA, "a close reason that is not UTF-8") from None
+                raise ProtocolError(CLOSE_INVALID_DATA, "a close reason that is not UTF-8") from None
             self.close_code, self.close_reason = code, reason or None
         self.client_terminated = True
         self.close(self.close_code)
@@ -183,13 +199,13 @@
     # Writing.
 
     def write_text(self, data: bytes) -> "Future[None]":
-        """As write_message, without a task for each; raises StreamClosedError."""
+        """Write a text message like write_message, but without a task for each. Raises StreamClosedError."""
         flags = 0
-        if self._compressor and len(data) >= COMPRESS_FROM:
+        if self._compressor and len(data) >= MIN_COMPRESSED_BYTES:
             data, flags = self._compressor.compress(data), self.RSV1
         return self._write_frame(True, 0x1, data, flags)
 
     @property
     def unsent(self) -> int:
-        """Bytes written that the other side's machine has not taken."""
+        """Bytes written that the kernel has not accepted for sending yet."""
         return self.stream._total_write_index - self.stream._total_write_done_index
--- a/heathford/sessions/rpc.py
+++ b/heathford/sessions/rpc.py
@@ -1,65 +1,79 @@
-"""Sessions in JSON-RPC 2.0, with bodies of the published completions API; no I/O."""
+"""Sessions in JSON-RPC 2.0, with bodies of the published completions API. Does no I/O."""
 
 from collections.abc import Mapping
 from typing import Any, Protocol
 
 import orjson
 
-from heathford.sessions.guidance import Retry, after_refusal, told
-from heathford.sessions.limits import known
+from heathford.sessions.guidance import Retry, retry_after_rate_limit, retry_field
+from heathford.sessions.limits import is_request_id
 from heathford.sessions.workload_catalog import ParamsError
 from heathford.sessions.session import SessionManager, Session
-from heathford.sessions.versions import PRESENT
+from heathford.sessions.versions import CURRENT_VERSION
 
-PARSE, REQUEST, METHOD, PARAMS = -32700, -32600, -32601, -32602  # JSON-RPC's own
-RATE_LIMITED, ABORTED = -32001, -32002  # within the range that JSON-RPC leaves to servers
+# Error codes: JSON-RPC's own, then two of the range that it leaves to servers.
+PARSE_ERROR, INVALID_REQUEST, METHOD_NOT_FOUND, INVALID_PARAMS = -32700, -32600, -32601, -32602
+RATE_LIMITED, ABORTED = -32001, -32002
 METHODS = "completions.create, completions.cancel"
 
 
-class Outlet(Protocol):
-    """The socket of a session."""
+class MessageWriter(Protocol):
+    """The WebSocket connection of a session."""
 
-    def say(self, message: bytes) -> None: ...
+    def send_message(self, message: bytes) -> None:
+        """Send a text message, unless the connection is closed."""
+        ...
 
     @property
-    def slow(self) -> bool: ...
+    def slow(self) -> bool:
+        """Whether more than the bound is unsent."""
+        ...
 
-    def resume_reading(self) -> None: ...
+    def resume_reading(self) -> None:
+        """Read from the client again if that was paused."""
+        ...
 
 
 class JsonRpcSession:
-    """What a client says becomes calls on its session; what the session tells becomes messages."""
+    """Translates a client's JSON-RPC messages to calls of its session, and answers to messages."""
 
-    def __init__(self, manager: SessionManager, outlet: Outlet, name: str, version: int = PRESENT) -> None:
-        self.manager, self.outlet, self.version = manager, outlet, version
+    def __init__(
+        self, manager: SessionManager, writer: MessageWriter, name: str, version: int = CURRENT_VERSION
+    ) -> None:
+        self.manager, self.writer, self.version = manager, writer, version
         self.session = Session(manager, self, name)
 
-    def message(self, data: str | bytes) -> None:
+    def handle_message(self, data: str | bytes) -> None:
+        """Handle one message; an invalid one is answered with an error."""
         received = self.manager.now()
         if isinstance(data, bytes):
-            self.error(None, REQUEST, "messages are text")
+            self.send_error(None, INVALID_REQUEST, "messages are text")
             return
         try:
             call = orjson.loads(data)
-        except (orjson.JSONDecodeError, UnicodeEncodeError) as problem:
-            self.error(None, PARSE, f"no JSON: {problem}")
+        except (orjson.JSONDecodeError, UnicodeEncodeError) as error:
+            self.send_error(None, PARSE_ERROR, f"no JSON: {error}")
             return
         if isinstance(call, list):
-            self.error(None, REQUEST, "batches are not taken: send each request as a message of its own")
+            self.send_error(
+                None, INVALID_REQUEST, "batches are not taken: send each request as a message of its own"
+            )
             return
         if not (
             isinstance(call, dict) and call.get("jsonrpc") == "2.0" and isinstance(call.get("method"), str)
         ):
-            self.error(None, REQUEST, "no JSON-RPC 2.0 request")
+            self.send_error(None, INVALID_REQUEST, "no JSON-RPC 2.0 request")
             return
         key, params = call.get("id"), call.get("params", {})
-        if not (key is None or known(key)):
-            self.error(None, REQUEST, "id: allowed is a text or a number")
+        if not (key is None or is_request_id(key)):
+            self.send_error(None, INVALID_REQUEST, "id: allowed is a text or a number")
         elif call["method"] not in METHODS.split(", "):
             if "id" in call:
-                self.error(key, METHOD, f"unknown method {call['method']!r}; allowed are {METHODS}")
+                self.send_error(
+                    key, METHOD_NOT_FOUND, f"unknown method {call['method']!r}; allowed are {METHODS}"
+                )
         elif not isinstance(params, dict):
-            self.error(key, PARAMS, "params: allowed is an object")
+            self.send_error(key, INVALID_PARAMS, "params: allowed is an object")
         elif call["method"] == "completions.cancel":
             self.cancel(key, params.get("id"))
         else:
@@ -67,28 +81,28 @@
 
     def create(self, key: Any, params: Mapping[str, Any], received: float, size: int) -> None:
         if key is None:
-            self.error(None, REQUEST, "completions.create needs an id, to be answered by")
+            self.send_error(None, INVALID_REQUEST, "completions.create needs an id, to be answered by")
         elif key in self.session.requests:
-            self.error(key, REQUEST, f"id: {key!r} is in use by a completion that is out")
+            self.send_error(key, INVALID_REQUEST, f"id: {key!r} is in use by a completion that is out")
         else:
             try:
                 arguments, attempt = (
                     self.manager.catalog.parse_request(params),
                     self.manager.catalog.parse_attempt(params),
                 )
-            except ParamsError as problem:
-                self.error(key, PARAMS, str(problem))
+            except ParamsError as error:
+                self.send_error(key, INVALID_PARAMS, str(error))
                 return
             self.session.submit(key, arguments, received, size, attempt)
 
-    def cancel(self, key: Any, wanted: Any) -> None:
-        found = known(wanted) and self.session.cancel(wanted)
+    def cancel(self, key: Any, cancelled_key: Any) -> None:
+        found = is_request_id(cancelled_key) and self.session.cancel(cancelled_key)
         if key is not None:
-            self.say({"jsonrpc": "2.0", "id": key, "result": {"cancelled": found}})
+            self.send({"jsonrpc": "2.0", "id": key, "result": {"cancelled": found}})
 
-    def going(self, after: float) -> None:
-        """The front stops, and will close this session in `after` seconds."""
-        self.say(
+    def announce_closing(self, after: float) -> None:
+        """Notify the client that the front node stops and closes this session in `after` s."""
+        self.send(
             {
                 "jsonrpc": "2.0",
                 "method": "session.going",
@@ -96,26 +110,26 @@
             }
         )
 
-    def say(self, message: Mapping[str, Any]) -> None:
-        self.outlet.say(orjson.dumps(message))
+    def send(self, message: Mapping[str, Any]) -> None:
+        self.writer.send_message(orjson.dumps(message))
 
-    def error(self, key: Any, code: int, what: str, data: Mapping[str, Any] | None = None) -> None:
-        error: dict[str, Any] = {"code": code, "message": what}
+    def send_error(self, key: Any, code: int, message: str, data: Mapping[str, Any] | None = None) -> None:
+        error: dict[str, Any] = {"code": code, "message": message}
         if data is not None:
             error["data"] = data
-        self.say({"jsonrpc": "2.0", "id": key, "error": error})
+        self.send({"jsonrpc": "2.0", "id": key, "error": error})
 
-    # heathford.sessions.session.Voice
+    # heathford.sessions.session.SessionWriter
 
     @property
     def slow(self) -> bool:
-        return self.outlet.slow
+        return self.writer.slow
 
     def resume_reading(self) -> None:
-        self.outlet.resume_reading()
+        self.writer.resume_reading()
 
     def chunk(self, key: Any, request: str, text: str) -> None:
-        self.say(
+        self.send(
             {
                 "jsonrpc": "2.0",
                 "method": "completions.chunk",
@@ -129,7 +143,7 @@
         )
 
     def finished(self, key: Any, request: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
-        self.say(
+        self.send(
             {
                 "jsonrpc": "2.0",
                 "id": key,
@@ -145,13 +159,17 @@
 
     def rate_limited(self, key: Any, request: str, retry_after: float) -> None:
         data: dict[str, Any] = {"completion": request} if request else {}
-        data |= {"retry_after": retry_after, "final": "rate-limited"} | told(after_refusal(), self.version)
-        self.error(key, RATE_LIMITED, "rate-limited", data)
+        data |= {"retry_after": retry_after, "final": "rate-limited"} | retry_field(
+            retry_after_rate_limit(), self.version
+        )
+        self.send_error(key, RATE_LIMITED, "rate-limited", data)
 
     def aborted(self, key: Any, request: str, why: str, retry: Retry) -> None:
-        data = {"final": "aborted"} | told(retry, self.version)
+        data = {"final": "aborted"} | retry_field(retry, self.version)
         data |= {"completion": request} if request else {}
-        self.error(key, ABORTED, why, data)
+        self.send_error(key, ABORTED, why, data)
 
     def conflict(self, key: Any) -> None:
-        self.error(key, PARAMS, "idempotency_key: stands for another completion; allowed is a new one")
+        self.send_error(
+            key, INVALID_PARAMS, "idempotency_key: stands for another completion; allowed is a new one"
+        )
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -26,7 +26,7 @@
 from heathford.client.base import Client, AttemptError
 from heathford.client.retry import (
     BACKOFF,
-    BACKOFF_MOST,
+    MAX_BACKOFF,
     MAX_CREDIT,
     JITTER,
     RetryState,
@@ -318,7 +318,7 @@
     async def scene() -> None:
         async def answer(exchange: Exchange) -> None:
             exchange.head(200, {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"})
-            exchange.chunk(responses.part("c", "w", "half"))
+            exchange.chunk(responses.chunk_event("c", "w", "half"))
             exchange.end()
 
         server = Server(answer)
@@ -363,9 +363,9 @@
 ) -> None:
     choice = FrontOrder(3, 1)
     choice.order, choice.current = [0, 1, 2], 0
-    attempt = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, keyed)
+    retry_state = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, keyed)
     for trouble, front in zip(troubles, fronts, strict=True):
-        again = attempt.after(trouble, 10.0, 0.5)
+        again = retry_state.next_attempt(trouble, 10.0, 0.5)
         assert (again.front if again else None) == front
         assert again is None or trouble is not FailureKind.REFUSED or 0.5 <= again.wait <= 0.75
 
@@ -374,8 +374,8 @@
     choice, budget = FrontOrder(2, 1), RetryBudget(0.2)
     again = 0
     for n in range(1000):
-        attempt = RetryState(choice, budget, 1e9, True, True)
-        while attempt.after(FailureKind.REFUSED, float(n)) is not None and again < 10_000:
+        retry_state = RetryState(choice, budget, 1e9, True, True)
+        while retry_state.next_attempt(FailureKind.REFUSED, float(n)) is not None and again < 10_000:
             again += 1
     assert again <= 0.2 * 1000 + MAX_CREDIT and again > 150
 
@@ -383,13 +383,13 @@
 def test_waits_grow_differ_and_end_once_a_front_is_there() -> None:
     choice = FrontOrder(2, 1)
     choice.order, choice.current = [0, 1], 0
-    attempt = RetryState(choice, RetryBudget(0.2), 100.0, True, True)
-    found = [attempt.after(FailureKind.UNREACHED, 10.0 + n / 100) for n in range(8)]
+    retry_state = RetryState(choice, RetryBudget(0.2), 100.0, True, True)
+    found = [retry_state.next_attempt(FailureKind.UNREACHED, 10.0 + n / 100) for n in range(8)]
     waits = [again.wait for again in found if again]
     assert waits[0] == 0.0 < waits[1] < waits[2] < waits[3]
-    assert max(waits) <= BACKOFF_MOST * (1 + JITTER) and waits[2] % BACKOFF != 0.0
+    assert max(waits) <= MAX_BACKOFF * (1 + JITTER) and waits[2] % BACKOFF != 0.0
     refused = [
-        RetryState(choice, RetryBudget(0.2), 100.0, True, True).after(FailureKind.REFUSED, 20.0, 1.0)
+        RetryState(choice, RetryBudget(0.2), 100.0, True, True).next_attempt(FailureKind.REFUSED, 20.0, 1.0)
         for _ in range(2)
     ]
     assert refused[0] and refused[1] and refused[0].wait != refused[1].wait
@@ -398,16 +398,22 @@
 def test_a_front_that_was_good_is_asked_next_and_one_that_was_bad_last() -> None:
     choice = FrontOrder(3, 1)
     choice.order, choice.current = [0, 1, 2], 0
-    assert choice.bad(0, 10.0) == 1 and choice.bad(1, 10.1) == 2 and choice.bad(2, 10.2) == 0
-    choice.good(2)
+    assert (
+        choice.record_failure(0, 10.0) == 1
+        and choice.record_failure(1, 10.1) == 2
+        and choice.record_failure(2, 10.2) == 0
+    )
+    choice.record_success(2)
     assert RetryState(choice, RetryBudget(0.2), 100.0, True, True).front == 2
-    assert choice.bad(2, 10.3) == 0 and choice.bad(0, 11.05) == 1  # it is a second ago that 0 and 1 were bad
+    assert (
+        choice.record_failure(2, 10.3) == 0 and choice.record_failure(0, 11.05) == 1
+    )  # it is a second ago that 0 and 1 were bad
 
 
 def test_credit_is_not_saved_up_for_a_storm() -> None:
     budget = RetryBudget(0.2)
     for _ in range(1000):
-        budget.first()
+        budget.earn()
     assert sum(budget.spend() for _ in range(100)) == MAX_CREDIT
 
 
@@ -427,9 +433,9 @@
 def test_a_session_that_is_told_to_go_gets_nothing_new(fleet: Fleet) -> None:
     async def scene(client: Client, fronts: list[Served]) -> None:
         assert (await client.complete("w", "x", max_tokens=2)).tries == 1
-        fleet.call(lambda: setattr(fronts[0].session_server, "window", 30.0))
+        fleet.call(lambda: setattr(fronts[0].session_server, "closing_window", 30.0))
         fleet.call(fronts[0].session_server.stop)
-        while not any(s.going for s in client.sessions.values()):  # type: ignore[attr-defined]
+        while not any(s.closing for s in client.sessions.values()):  # type: ignore[attr-defined]
             await asyncio.sleep(0.001)
         assert (await client.complete("w", "x", max_tokens=2)).text == "tt"
         assert fronts[1].core.tally.finished == 1 and fronts[0].manager.repeat_counter.first_requests == 1
@@ -439,7 +445,8 @@
 
 
 def test_no_try_is_begun_past_the_callers_deadline() -> None:
-    attempt = RetryState(FrontOrder(2, 1), RetryBudget(1.0), 10.0, True, True)
+    retry_state = RetryState(FrontOrder(2, 1), RetryBudget(1.0), 10.0, True, True)
     assert (
-        attempt.after(FailureKind.REFUSED, 9.0, 2.0) is None and attempt.after(FailureKind.LOST, 9.99) is None
+        retry_state.next_attempt(FailureKind.REFUSED, 9.0, 2.0) is None
+        and retry_state.next_attempt(FailureKind.LOST, 9.99) is None
     )
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -21,7 +21,7 @@
 from heathford.fuzz.sessions import Served
 from heathford.identity.repeat_counter import RepeatCounter
 from heathford.interface import Effect, Health, Outcome
-from heathford.sessions.versions import VersionError, of_header, of_subprotocols
+from heathford.sessions.versions import VersionError, version_from_header, version_from_subprotocols
 from heathford.terminal.app import TryApp
 from heathford.terminal.board import Board, prompts_of
 
@@ -51,10 +51,10 @@
 )
 def test_versions_of_a_header(named: str | None, version: int) -> None:
     if version:
-        assert of_header(named) == version
+        assert version_from_header(named) == version
     else:
         with pytest.raises(VersionError, match="served are 2, 1"):
-            of_header(named)
+            version_from_header(named)
 
 
 @pytest.mark.parametrize(
@@ -71,10 +71,10 @@
 )
 def test_versions_of_subprotocols(offered: list[str], version: int) -> None:
     if version:
-        assert of_subprotocols(offered) == version
+        assert version_from_subprotocols(offered) == version
     else:
         with pytest.raises(VersionError, match="served are 2, 1"):
-            of_subprotocols(offered)
+            version_from_subprotocols(offered)
 
 
 def test_an_unknown_version_is_told_what_is_served() -> None:
@@ -157,7 +157,9 @@
 ) -> None:
     choice = FrontOrder(2, 1)
     choice.order, choice.current = [0, 1], 0
-    again = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, True).after(trouble, 10.0, 0.1, said)
+    again = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, True).next_attempt(
+        trouble, 10.0, 0.1, said
+    )
     if trouble is FailureKind.ABORTED and not repeatable and said != "here":
         goes_on = None
     assert (again.front if again else None) == goes_on
--- a/tests/test_session_rules.py
+++ b/tests/test_session_rules.py
@@ -14,8 +14,8 @@
 from heathford.identity.shared_request import SharedRequest
 from heathford.interface import Effect
 from heathford.sessions.liveness import SessionLiveness, CheckSchedule, LivenessTimeouts, LivenessAction
-from heathford.sessions.limits import LAST_CALL, Waiting, farewell
-from heathford.sessions.fair_queue import WAIT, FairQueue
+from heathford.sessions.limits import MIN_TIME_LEFT, WaitingRequests, closing_delays
+from heathford.sessions.fair_queue import MAX_WAIT_SHARE, FairQueue
 
 PATIENCE = LivenessTimeouts(ping=20.0, pong=10.0, idle=100.0, slow=5.0)
 NOTHING, PING, SILENT, IDLE, SLOW = (
@@ -52,12 +52,12 @@
     ],
 )
 def test_life_of_a_session(looks: list[tuple[float, Any, int]], steps: list[LivenessAction | None]) -> None:
-    life = SessionLiveness(PATIENCE, 0.0)
+    liveness = SessionLiveness(PATIENCE, 0.0)
     for (now, what, slow), step in zip(looks, steps, strict=True):
         if what == "hears":
-            life.hears(now)
+            liveness.record_received(now)
         else:
-            found, again = life.look(now, what, bool(slow))
+            found, again = liveness.next_action(now, what, bool(slow))
             assert found is step and again >= now
 
 
@@ -88,18 +88,18 @@
         for flow, rate in rates.items():
             for _ in range(chance.random() < rate * step):
                 asked[flow].append(now)
-                fair_queue.asks(flow[0], flow[1], (flow, len(asked[flow]) - 1), now, now + WAIT)
-        fair_queue.late(now)
-        while (item := fair_queue.next(now)) is not None:
+                fair_queue.add(flow[0], flow[1], (flow, len(asked[flow]) - 1), now, now + MAX_WAIT_SHARE)
+        fair_queue.pop_expired(now)
+        while (item := fair_queue.pop_next(now)) is not None:
             let_in.append((item, now))
         room = min(1.0, room + capacity * step)
         while room >= 1.0 and let_in and now - let_in[0][1] >= 0.05:
             room -= 1.0
             (flow, place), since = let_in.popleft()
             lost = chance.random() < sick
-            fair_queue.answered(flow[0], since, inf if lost else now - since, now)
+            fair_queue.record_first_token(flow[0], since, inf if lost else now - since, now)
             good[flow] += not lost and now - asked[flow][place] <= 1.0 and now >= seconds / 2
-    assert len(fair_queue.members) <= len({member for member, _ in rates})
+    assert len(fair_queue.tenants) <= len({member for member, _ in rates})
     return {flow: good[flow] / sum(at >= seconds / 2 for at in asked[flow]) for flow in rates}
 
 
@@ -132,46 +132,46 @@
     for at, (step, member) in enumerate(steps):
         now = float(at)
         if step == "ask":
-            fair_queue.asks(member, member % 2, at, now, now + 3.0)
+            fair_queue.add(member, member % 2, at, now, now + 3.0)
             waiting[at] = member
         elif step == "late":
-            for item in fair_queue.late(now):
+            for item in fair_queue.pop_expired(now):
                 assert item + 3.0 <= now
                 del waiting[item]
         elif step == "answer" and out:
-            fair_queue.answered(out.pop(0), now - 1.0, inf if member else 0.1, now)
+            fair_queue.record_first_token(out.pop(0), now - 1.0, inf if member else 0.1, now)
         elif step == "leave" and waiting:
             item = next(iter(waiting))
             del waiting[item]
-            assert fair_queue.take_out(item, now) and not fair_queue.take_out(item, now)
-        while (found := fair_queue.next(now)) is not None:
+            assert fair_queue.discard(item, now) and not fair_queue.discard(item, now)
+        while (found := fair_queue.pop_next(now)) is not None:
             out.append(waiting.pop(found))
-        assert fair_queue.out == len(out) and list(fair_queue.waiting) == list(waiting)
-        assert fair_queue.members.keys() >= {*out, *waiting.values()}
+        assert fair_queue.in_window == len(out) and list(fair_queue.waiting) == list(waiting)
+        assert fair_queue.tenants.keys() >= {*out, *waiting.values()}
         assert not waiting or len(out) >= int(fair_queue.window.size)
     for member in out:
-        fair_queue.gone(member, 1000.0)
-    fair_queue.late(1000.0)
-    assert not fair_queue.members and not fair_queue.waiting
+        fair_queue.release(member, 1000.0)
+    fair_queue.pop_expired(1000.0)
+    assert not fair_queue.tenants and not fair_queue.waiting
 
 
 @given(st.lists(st.tuples(st.floats(0, 100), st.booleans()), max_size=40), st.integers(0, 10))
 def test_waiting_goes_by_due_time_within_its_bound(steps: list[tuple[float, bool]], most: int) -> None:
-    waiting: Waiting[float] = Waiting(most)
+    waiting: WaitingRequests[float] = WaitingRequests(most)
     model: list[float] = []
     for due, add in steps:
         if add:
             assert waiting.add(due, due) == (len(model) < most)
             model = sorted([*model, due])[:most] if len(model) < most else model
         else:
-            assert waiting.next() == (model.pop(0) if model else None)
-    late = [d for d in model if d - LAST_CALL <= 50.0]
-    assert waiting.late(50.0) == late
+            assert waiting.pop_next() == (model.pop(0) if model else None)
+    late = [d for d in model if d - MIN_TIME_LEFT <= 50.0]
+    assert waiting.pop_expired(50.0) == late
 
 
 @given(st.integers(1, 500), st.floats(0.1, 60))
 def test_farewell_spreads_sessions_evenly(count: int, window: float) -> None:
-    found = farewell(range(count), window, 1)
+    found = closing_delays(range(count), window, 1)
     gaps = sorted(found.values())
     assert len(found) == count and gaps[0] == 0 and gaps[-1] < window
     assert all(b - a == pytest.approx(window / count) for a, b in pairwise(gaps))
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -398,7 +398,7 @@
         await slow_reader.readuntil(b"\r\n\r\n")
         served.link.size, served.link.pace = 5000, 0.001
         slow.write(frame(1, create(1, max_tokens=5000, timeout=60).encode()))
-        while set(served.session_server.given_up) != wanted:
+        while set(served.session_server.closed_counts) != wanted:
             await asyncio.sleep(0.01)
             await client.send(create(1))
             await answer(client, 1)
@@ -522,7 +522,7 @@
             heard.append(Heard())
             listening.append(asyncio.ensure_future(listen(reader, heard[-1])))
             writers.append(writer)
-        while served.core.tally.taken + served.manager.fair_queue.turned_away < 1500:
+        while served.core.tally.taken + served.manager.fair_queue.shed_count < 1500:
             await asyncio.sleep(0.001)
         broken = 0
         async with asyncio.timeout(10.0):
