--- a/heathford/client/batches.py
+++ b/heathford/client/batches.py
@@ -99,8 +99,8 @@
         )
 
     async def get(self, batch: str) -> dict[str, Any]:
-        found: dict[str, Any] = await self.again(lambda: self.json("GET", f"/v1/batches/{batch}", {}))
-        return found
+        result: dict[str, Any] = await self.again(lambda: self.json("GET", f"/v1/batches/{batch}", {}))
+        return result
 
     async def watch(self, batch: str) -> AsyncIterator[dict[str, Any]]:
         """Yield the batch each time it has changed, until it has a final status.
@@ -109,19 +109,19 @@
         """
         wait, last = POLL_INTERVALS[0], ""
         while True:
-            found = await self.get(batch)
-            shown = repr((found["status"], found["request_counts"]))
+            result = await self.get(batch)
+            shown = repr((result["status"], result["request_counts"]))
             if shown != last:
                 wait, last = POLL_INTERVALS[0], shown
-                yield found
-            if found["status"] in FINAL_STATUSES:
+                yield result
+            if result["status"] in FINAL_STATUSES:
                 return
             await asyncio.sleep(wait)
             wait = min(1.5 * wait, POLL_INTERVALS[1])
 
     async def cancel(self, batch: str) -> dict[str, Any]:
-        found: dict[str, Any] = await self.again(lambda: self.post(f"/v1/batches/{batch}/cancel", {}))
-        return found
+        result: dict[str, Any] = await self.again(lambda: self.post(f"/v1/batches/{batch}/cancel", {}))
+        return result
 
     async def fetch(self, file: str, to: Path) -> int:
         """Write a file's content to a path, completely or not at all; return its size in bytes."""
@@ -140,11 +140,11 @@
             return size
 
         try:
-            found: int = await self.again(once)
+            result: int = await self.again(once)
             partial.replace(to)
         finally:
             partial.unlink(missing_ok=True)
-        return found
+        return result
 
     async def delete(self, file: str) -> dict[str, Any]:
         return await self.json("DELETE", f"/v1/files/{file}", {})
@@ -193,10 +193,10 @@
         body = bytearray()
         await self.exchange(method, path, headers, send, body.extend)
         try:
-            found: dict[str, Any] = orjson.loads(bytes(body))
+            result: dict[str, Any] = orjson.loads(bytes(body))
         except orjson.JSONDecodeError:
             raise Aborted("the answer is not valid JSON") from None
-        return found
+        return result
 
     async def exchange(
         self,
--- a/heathford/client/websocket.py
+++ b/heathford/client/websocket.py
@@ -73,9 +73,9 @@
     async def session(self, front: int) -> SharedSession:
         """Return the open session with a front node, or a new one. Raises AttemptError or BadRequest."""
         async with self.connecting.setdefault(front, asyncio.Lock()):
-            found = self.sessions.get(front)
-            if found and not found.lost and not found.closing:
-                return found
+            shared = self.sessions.get(front)
+            if shared and not shared.lost and not shared.closing:
+                return shared
             try:
                 socket = await websocket_connect(
                     HTTPRequest(self.addresses[front], connect_timeout=CONNECT_TIMEOUT, ssl_options=self.tls),
--- a/heathford/sessions/limits.py
+++ b/heathford/sessions/limits.py
@@ -71,10 +71,10 @@
     def remove(self, item: Item) -> bool:
         """Remove a request; return whether it was in the queue."""
         rest = [entry for entry in self.heap if entry[2] is not item]
-        found = len(rest) < len(self.heap)
+        removed = len(rest) < len(self.heap)
         self.heap = rest
         heapq.heapify(self.heap)
-        return found
+        return removed
 
     @property
     def next_expiry(self) -> float | None:
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -61,14 +61,19 @@
     """
 
     def begins(
-        self, member: int, mark: str, body_digest: bytes, effect: Effect, then: Callable[[bool], None]
+        self,
+        tenant: int,
+        idempotency_key: str,
+        body_digest: bytes,
+        effect: Effect,
+        then: Callable[[bool], None],
     ) -> None: ...
 
     def ended(
-        self, member: int, mark: str, body_digest: bytes, effect: Effect, shared: SharedRequest
+        self, tenant: int, idempotency_key: str, body_digest: bytes, effect: Effect, shared: SharedRequest
     ) -> None: ...
 
-    def forgets(self, member: int, mark: str, effect: Effect) -> None: ...
+    def forgets(self, tenant: int, idempotency_key: str, effect: Effect) -> None: ...
 
 
 class SessionManager:
@@ -84,15 +89,15 @@
         catalog: WorkloadCatalog,
         capacity: SessionCapacity,
         fair_queue: "FairQueue[SessionRequest]",
-        identities: IdempotencyTable,
+        idempotency_table: IdempotencyTable,
         now: Callable[[], float],
         call_at: Callable[[float, Callable[[], None]], Cancellable],
         max_active: int,
         max_waiting: int,
     ) -> None:
         self.core, self.catalog, self.capacity, self.fair_queue = core, catalog, capacity, fair_queue
-        self.identities, self.now, self.call_at = identities, now, call_at
-        self.repeat_counter = RepeatCounter(identities.max_requests, identities.retention)
+        self.identities, self.now, self.call_at = idempotency_table, now, call_at
+        self.repeat_counter = RepeatCounter(idempotency_table.max_requests, idempotency_table.retention)
         self.max_active, self.max_waiting = max_active, max_waiting
         self.retry_after = RETRY_AFTER
         self.memory: Memory | None = None
@@ -168,10 +173,10 @@
         request = SessionRequest(self, key, arguments, received, size)
         if arguments["mark"]:
             request.body_digest = blake2b(orjson.dumps(arguments["body"]), digest_size=16).digest()
-            found = request.find_by_key()
-            if found is LookupResult.TABLE_FULL:
+            lookup_result = request.find_by_key()
+            if lookup_result is LookupResult.TABLE_FULL:
                 self.refuse(key)
-            if found is not LookupResult.NEW:
+            if lookup_result is not LookupResult.NEW:
                 return
         if manager.stopping or not manager.capacity.has_room_for(size):
             self.refuse(key)
@@ -307,9 +312,15 @@
         NEW and TABLE_FULL are left to the caller. A repeat receives the answer of the request in progress,
         without attempts of its own.
         """
-        manager, member, mark = self.session.manager, self.arguments["member"], self.arguments["mark"]
-        found, shared = manager.identities.look_up(member, mark, self.body_digest, manager.now())
-        if found is LookupResult.CONFLICT:
+        manager, tenant, idempotency_key = (
+            self.session.manager,
+            self.arguments["member"],
+            self.arguments["mark"],
+        )
+        lookup_result, shared = manager.identities.look_up(
+            tenant, idempotency_key, self.body_digest, manager.now()
+        )
+        if lookup_result is LookupResult.CONFLICT:
             self.close()
             self.session.writer.conflict(self.key)
         elif shared is not None:
@@ -318,22 +329,22 @@
             self.shared = shared
             self.timer = manager.call_at(self.deadline, self.on_timeout)
             shared.join(self)
-        return found
+        return lookup_result
 
     def admit(self) -> None:
         """Take a place in the window, and pass the request to the core unless it joins a known one."""
         manager, arguments = self.session.manager, self.arguments
-        member, mark, now = arguments["member"], arguments["mark"], manager.now()
+        tenant, idempotency_key, now = arguments["member"], arguments["mark"], manager.now()
         self.admitted_at = now
         if manager.stopping:
             self.shed()
             return
-        if mark:
+        if idempotency_key:
             # Two requests with one key may both have waited here: each was new when it was submitted.
-            found = self.find_by_key()
-            if found is LookupResult.TABLE_FULL:
+            lookup_result = self.find_by_key()
+            if lookup_result is LookupResult.TABLE_FULL:
                 self.shed()
-            if found is not LookupResult.NEW:
+            if lookup_result is not LookupResult.NEW:
                 return
         effect = manager.core.workloads[arguments["workload"]].effect
 
@@ -341,21 +352,25 @@
             # A rate-limited answer promises that a repeat is safe, so a repeat must not get that answer
             # again; an idempotent request that was aborted is run again. All other answers are kept.
             if shared.was_rate_limited or (effect is Effect.IDEMPOTENT and not shared.was_finished):
-                manager.identities.remove(member, mark)
-                if mark and manager.memory:
-                    manager.memory.forgets(member, mark, effect)
+                manager.identities.remove(tenant, idempotency_key)
+                if idempotency_key and manager.memory:
+                    manager.memory.forgets(tenant, idempotency_key, effect)
             else:
-                manager.identities.mark_ended(member, mark, manager.now())
-                if mark and manager.memory:
-                    manager.memory.ended(member, mark, self.body_digest, effect, shared)
+                manager.identities.mark_ended(tenant, idempotency_key, manager.now())
+                if idempotency_key and manager.memory:
+                    manager.memory.ended(tenant, idempotency_key, self.body_digest, effect, shared)
 
         shared = self.shared = SharedRequest(ended)
         shared.join(self)
-        if mark:
-            manager.identities.add(member, mark, self.body_digest, effect, shared)
-        if mark and manager.memory:
+        if idempotency_key:
+            manager.identities.add(tenant, idempotency_key, self.body_digest, effect, shared)
+        if idempotency_key and manager.memory:
             manager.memory.begins(
-                member, mark, self.body_digest, effect, lambda stored: self.pass_to_core(shared, stored)
+                tenant,
+                idempotency_key,
+                self.body_digest,
+                effect,
+                lambda stored: self.pass_to_core(shared, stored),
             )
         else:
             self.pass_to_core(shared, True)
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -1,5 +1,4 @@
-"""Both client libraries, asyncio and blocking, against the same fronts: the same answers, errors and
-guidance."""
+"""Both client libraries, asyncio and blocking: the same results, errors and guidance at the same fronts."""
 
 import asyncio
 import json
@@ -41,11 +40,11 @@
 
 HERE = Path(__file__).parent
 KINDS = ["websocket", "http"]
-DEAD = 1  # a port of the loopback range where nobody listens
+UNUSED_PORT = 1  # of the loopback address; nothing listens there
 
 
 class Fleet:
-    """Fronts in a thread of their own, so that blocking clients can be asked beside them."""
+    """Front nodes in a thread of their own, so that blocking clients can be tested against them."""
 
     def __init__(self) -> None:
         self.loop = asyncio.new_event_loop()
@@ -64,13 +63,13 @@
         self.fronts.append(served)
         return served
 
-    def vanish(self, served: Served) -> None:
-        """As a front that is killed: connections end, and none is taken."""
+    def kill(self, served: Served) -> None:
+        """Act as a killed front node: its connections end, and it accepts no new ones."""
         self.call(served.server.stop)
-        self.cut(served)
+        self.break_connections(served)
 
-    def cut(self, served: Served) -> None:
-        """All its connections break."""
+    def break_connections(self, served: Served) -> None:
+        """Break all connections of a front node."""
 
         def close() -> None:
             for socket in list(served.session_server.open):
@@ -92,34 +91,34 @@
     found.thread.join()
 
 
-def made(kind: str, ports: list[int], **more: Any) -> Client:
+def make_client(kind: str, ports: list[int], **more: Any) -> Client:
     if kind == "websocket":
         return WebSocketClient([f"ws://127.0.0.1:{p}/v1/sessions" for p in ports], **more)
     return HttpClient([f"http://127.0.0.1:{p}" for p in ports], **more)
 
 
-def first_at(kind: str, ports: list[int]) -> Callable[[], Client]:
-    """A client whose first front is the first of these."""
+def client_starting_at_first(kind: str, ports: list[int]) -> Callable[[], Client]:
+    """Return a function that makes a client which tries these ports in order."""
 
     def make() -> Client:
-        client = made(kind, ports, seed=1)
+        client = make_client(kind, ports, seed=1)
         client.fronts.order, client.fronts.current = list(range(len(ports))), 0
         return client
 
     return make
 
 
-def outcome(ask: Callable[[], Finished]) -> tuple[str, str, Any]:
+def outcome_of(ask: Callable[[], Finished]) -> tuple[str, str, Any]:
     try:
         found = ask()
         return "finished", found.text, found.tries
-    except RateLimited as problem:
-        return "rate-limited", problem.text, problem.retry_after > 0
-    except (Aborted, BadRequest, NoFront) as problem:
-        return type(problem).__name__.lower(), problem.text, None
+    except RateLimited as error:
+        return "rate-limited", error.text, error.retry_after > 0
+    except (Aborted, BadRequest, NoFront) as error:
+        return type(error).__name__.lower(), error.text, None
 
 
-# What stands before the client: figures of its fronts (None: nobody listens), what it asks, what it is told.
+# Name, settings of each front node (None: nothing listens), parameters of the request, expected outcome.
 REFUSED = "rate-limited", "", True
 CASES: list[tuple[str, list[dict[str, Any] | None], dict[str, Any], tuple[str, str, Any]]] = [
     ("one front", [{}], {}, ("finished", "tttt", 1)),
@@ -146,8 +145,8 @@
 
 
 @pytest.fixture(scope="module")
-def library_before(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Callable[..., Any]]:
-    """The version before's library, as this repository's history has it, in a process of its own."""
+def previous_library(tmp_path_factory: pytest.TempPathFactory) -> Iterator[Callable[..., Any]]:
+    """The client library of the previous version, from its archive, in a process of its own."""
     folder = tmp_path_factory.mktemp("version-1")
     with tarfile.open(HERE / "fixtures" / "version-1.tar.gz") as archive:
         archive.extractall(folder, filter="data")
@@ -174,36 +173,41 @@
 @pytest.mark.parametrize("version", ["present", "before"])
 @pytest.mark.parametrize("blocking", [False, True])
 @pytest.mark.parametrize("kind", KINDS)
-@pytest.mark.parametrize("name, fronts, asks, wanted", CASES)
+@pytest.mark.parametrize("name, fronts, params_of_case, expected", CASES)
 def test_conformance(
     fleet: Fleet,
-    library_before: Callable[..., Any],
+    previous_library: Callable[..., Any],
     kind: str,
     blocking: bool,
     version: str,
     name: str,
     fronts: list[dict[str, Any] | None],
-    asks: dict[str, Any],
-    wanted: tuple[str, str, Any],
+    params_of_case: dict[str, Any],
+    expected: tuple[str, str, Any],
 ) -> None:
     ports = []
     for figures in fronts:
         if figures is None:
-            ports.append(DEAD)
+            ports.append(UNUSED_PORT)
             continue
         served = fleet.add(**{k: v for k, v in figures.items() if k != "held"})
         served.link.held = bool(figures.get("held"))
         ports.append(served.port)
-    params: dict[str, Any] = {"model": "w", "prompt": "x" * 400, "max_tokens": 4, "timeout": 5.0} | asks
+    params: dict[str, Any] = {
+        "model": "w",
+        "prompt": "x" * 400,
+        "max_tokens": 4,
+        "timeout": 5.0,
+    } | params_of_case
     if version == "before":
         form = "ws://127.0.0.1:{}/v1/sessions" if kind == "websocket" else "http://127.0.0.1:{}"
         addresses = [form.format(port) for port in ports]
-        assert library_before(kind=kind, blocking=blocking, addresses=addresses, params=params) == wanted
+        assert previous_library(kind=kind, blocking=blocking, addresses=addresses, params=params) == expected
         return
-    make = first_at(kind, ports)
+    make = client_starting_at_first(kind, ports)
     if blocking:
         with Blocking(make) as client:
-            assert outcome(lambda: client.complete(**params)) == wanted
+            assert outcome_of(lambda: client.complete(**params)) == expected
         return
 
     def ask() -> Finished:
@@ -213,22 +217,25 @@
 
         return asyncio.run(run())
 
-    assert outcome(ask) == wanted
+    assert outcome_of(ask) == expected
 
 
-Scene = Callable[[Client, list[Served]], Awaitable[None]]
+Scenario = Callable[[Client, list[Served]], Awaitable[None]]
 
 
-def two_fronts(
-    fleet: Fleet, kind: str, scene: Scene, effect: Effect = Effect.IDEMPOTENT, pace: float = 0.03
+def run_with_two_fronts(
+    fleet: Fleet, kind: str, scenario: Scenario, effect: Effect = Effect.IDEMPOTENT, pace: float = 0.03
 ) -> None:
     fronts = [fleet.add(effect), fleet.add(effect)]
     for front in fronts:
         front.link.pace = pace
 
     async def run() -> None:
-        async with asyncio.timeout(15.0), first_at(kind, [f.port for f in fronts])() as client:
-            await scene(client, fronts)
+        async with (
+            asyncio.timeout(15.0),
+            client_starting_at_first(kind, [f.port for f in fronts])() as client,
+        ):
+            await scenario(client, fronts)
 
     asyncio.run(run())
 
@@ -236,71 +243,72 @@
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize("repeatable, ended", [(True, "finished"), (False, "aborted")])
 def test_a_front_killed_before_the_first_token(fleet: Fleet, kind: str, repeatable: bool, ended: str) -> None:
-    async def scene(client: Client, fronts: list[Served]) -> None:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
         fronts[0].link.held = True
         stream = client.stream("w", "x" * 400, max_tokens=4, repeatable=repeatable, timeout=2.0)
         task = stream.start()
         while not fronts[0].core.live:
             await asyncio.sleep(0.001)
-        fleet.vanish(fronts[0])
+        fleet.kill(fronts[0])
         try:
             assert ((await task).text, ended) == ("tttt", "finished")
         except Aborted:
             assert ended == "aborted" and fronts[1].core.tally.taken == 0
 
-    two_fronts(fleet, kind, scene)
+    run_with_two_fronts(fleet, kind, scenario)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_front_killed_mid_stream_ends_in_the_truth(fleet: Fleet, kind: str) -> None:
-    async def scene(client: Client, fronts: list[Served]) -> None:
-        got = ""
-        with pytest.raises(Aborted) as problem:
+def test_a_front_killed_mid_stream_aborts_with_the_text_received(fleet: Fleet, kind: str) -> None:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
+        received = ""
+        with pytest.raises(Aborted) as error:
             async for part in client.stream("w", "x" * 400, max_tokens=50, timeout=3.0):
-                got += part
-                if len(got) == 3:
-                    fleet.vanish(fronts[0])
-        assert problem.value.text == got and 3 <= len(got) < 50
+                received += part
+                if len(received) == 3:
+                    fleet.kill(fronts[0])
+        assert error.value.text == received and 3 <= len(received) < 50
 
-    two_fronts(fleet, kind, scene)
+    run_with_two_fronts(fleet, kind, scenario)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_lost_connection_is_joined_again_without_a_second_dispatch(fleet: Fleet, kind: str) -> None:
-    """What must not run twice goes on at its front; the client comes again with its key and misses
-    nothing."""
+def test_after_a_lost_connection_the_repeat_joins_without_a_second_attempt(fleet: Fleet, kind: str) -> None:
+    """A non-idempotent request goes on at its front; the client repeats it by its key and loses no text."""
 
-    async def scene(client: Client, fronts: list[Served]) -> None:
-        got = ""
+    async def scenario(client: Client, fronts: list[Served]) -> None:
+        received = ""
         async for part in client.stream("w", "x" * 400, max_tokens=30, repeatable=False, timeout=5.0):
-            got += part
-            if len(got) == 5:
-                fleet.cut(fronts[0])
-        assert got == "t" * 30
+            received += part
+            if len(received) == 5:
+                fleet.break_connections(fronts[0])
+        assert received == "t" * 30
         assert fronts[0].core.tally.taken == 1 and fronts[0].link.sent == 2 and not fronts[1].core.tally.taken
 
-    two_fronts(fleet, kind, scene, Effect.NON_IDEMPOTENT)
+    run_with_two_fronts(fleet, kind, scenario, Effect.NON_IDEMPOTENT)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_text_of_another_completion_does_not_go_on_where_one_broke_off(fleet: Fleet, kind: str) -> None:
-    """What may run twice ended with its connection: the same front begins it anew."""
+def test_text_of_another_run_does_not_continue_a_lost_stream(fleet: Fleet, kind: str) -> None:
+    """An idempotent request ended with its connection, so the repeat starts it anew at the same front."""
 
-    async def scene(client: Client, fronts: list[Served]) -> None:
-        got = ""
-        with pytest.raises(Aborted, match="anew") as problem:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
+        received = ""
+        with pytest.raises(Aborted, match="anew") as error:
             async for part in client.stream("w", "x" * 400, max_tokens=30, timeout=5.0):
-                got += part
-                if len(got) == 5:
-                    fleet.cut(fronts[0])
-        assert problem.value.text == got and fronts[0].core.tally.taken == 2
+                received += part
+                if len(received) == 5:
+                    fleet.break_connections(fronts[0])
+        assert error.value.text == received and fronts[0].core.tally.taken == 2
 
-    two_fronts(fleet, kind, scene)
+    run_with_two_fronts(fleet, kind, scenario)
 
 
 @pytest.mark.parametrize("repeatable, raised", [(True, RateLimited), (False, Aborted)])
-def test_what_may_have_run_is_not_called_rate_limited(repeatable: bool, raised: type[Exception]) -> None:
-    """A front that lost the connection to it, and then refuses it, has forgotten it."""
+def test_a_request_that_may_have_run_is_not_reported_as_rate_limited(
+    repeatable: bool, raised: type[Exception]
+) -> None:
+    """After a lost connection the first attempt may have run, though the front refuses the repeat."""
 
     class Front(HttpClient):
         async def once(self, front: int, *rest: Any) -> Any:
@@ -314,8 +322,8 @@
     asyncio.run(run())
 
 
-def test_a_stream_that_ends_without_saying_so_is_no_answer() -> None:
-    async def scene() -> None:
+def test_a_stream_without_its_end_mark_is_no_answer() -> None:
+    async def scenario() -> None:
         async def answer(exchange: Exchange) -> None:
             exchange.head(200, {"Content-Type": "text/event-stream", "Transfer-Encoding": "chunked"})
             exchange.chunk(responses.chunk_event("c", "w", "half"))
@@ -328,12 +336,12 @@
                 await client.complete("w", "x", timeout=0.5)
         server.stop()
 
-    asyncio.run(scene())
+    asyncio.run(scenario())
 
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_leaving_a_stream_early_cancels_it_at_the_front(fleet: Fleet, kind: str) -> None:
-    async def scene(client: Client, fronts: list[Served]) -> None:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
         async with client.stream("w", "x" * 400, max_tokens=500) as stream:
             async for _ in stream:
                 break
@@ -341,11 +349,11 @@
             await asyncio.sleep(0.001)
         assert fronts[0].core.tally.left == 1
 
-    two_fronts(fleet, kind, scene)
+    run_with_two_fronts(fleet, kind, scenario)
 
 
 @pytest.mark.parametrize(
-    "repeatable, keyed, troubles, fronts",
+    "repeatable, keyed, failures, fronts",
     [
         (True, True, [FailureKind.UNREACHED, FailureKind.UNREACHED], [1, 2]),
         (True, True, [FailureKind.LOST, FailureKind.REFUSED], [0, 1]),
@@ -358,59 +366,60 @@
         (False, False, [FailureKind.REFUSED, FailureKind.UNREACHED], [1, 2]),
     ],
 )
-def test_where_a_try_goes_next(
-    repeatable: bool, keyed: bool, troubles: list[FailureKind], fronts: list[int | None]
+def test_front_of_the_next_attempt(
+    repeatable: bool, keyed: bool, failures: list[FailureKind], fronts: list[int | None]
 ) -> None:
-    choice = FrontOrder(3, 1)
-    choice.order, choice.current = [0, 1, 2], 0
-    retry_state = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, keyed)
-    for trouble, front in zip(troubles, fronts, strict=True):
-        again = retry_state.next_attempt(trouble, 10.0, 0.5)
-        assert (again.front if again else None) == front
-        assert again is None or trouble is not FailureKind.REFUSED or 0.5 <= again.wait <= 0.75
-
-
-def test_tries_again_stay_within_their_share() -> None:
-    choice, budget = FrontOrder(2, 1), RetryBudget(0.2)
-    again = 0
+    front_order = FrontOrder(3, 1)
+    front_order.order, front_order.current = [0, 1, 2], 0
+    retry_state = RetryState(front_order, RetryBudget(0.2), 100.0, repeatable, keyed)
+    for failure, front in zip(failures, fronts, strict=True):
+        retry = retry_state.next_attempt(failure, 10.0, 0.5)
+        assert (retry.front if retry else None) == front
+        assert retry is None or failure is not FailureKind.REFUSED or 0.5 <= retry.wait <= 0.75
+
+
+def test_retries_stay_within_their_share() -> None:
+    front_order, budget = FrontOrder(2, 1), RetryBudget(0.2)
+    retries = 0
     for n in range(1000):
-        retry_state = RetryState(choice, budget, 1e9, True, True)
-        while retry_state.next_attempt(FailureKind.REFUSED, float(n)) is not None and again < 10_000:
-            again += 1
-    assert again <= 0.2 * 1000 + MAX_CREDIT and again > 150
+        retry_state = RetryState(front_order, budget, 1e9, True, True)
+        while retry_state.next_attempt(FailureKind.REFUSED, float(n)) is not None and retries < 10_000:
+            retries += 1
+    assert retries <= 0.2 * 1000 + MAX_CREDIT and retries > 150
 
 
-def test_waits_grow_differ_and_end_once_a_front_is_there() -> None:
-    choice = FrontOrder(2, 1)
-    choice.order, choice.current = [0, 1], 0
-    retry_state = RetryState(choice, RetryBudget(0.2), 100.0, True, True)
+def test_waits_grow_and_have_jitter() -> None:
+    front_order = FrontOrder(2, 1)
+    front_order.order, front_order.current = [0, 1], 0
+    retry_state = RetryState(front_order, RetryBudget(0.2), 100.0, True, True)
     found = [retry_state.next_attempt(FailureKind.UNREACHED, 10.0 + n / 100) for n in range(8)]
-    waits = [again.wait for again in found if again]
+    waits = [retry.wait for retry in found if retry]
     assert waits[0] == 0.0 < waits[1] < waits[2] < waits[3]
     assert max(waits) <= MAX_BACKOFF * (1 + JITTER) and waits[2] % BACKOFF != 0.0
     refused = [
-        RetryState(choice, RetryBudget(0.2), 100.0, True, True).next_attempt(FailureKind.REFUSED, 20.0, 1.0)
+        RetryState(front_order, RetryBudget(0.2), 100.0, True, True).next_attempt(
+            FailureKind.REFUSED, 20.0, 1.0
+        )
         for _ in range(2)
     ]
     assert refused[0] and refused[1] and refused[0].wait != refused[1].wait
 
 
-def test_a_front_that_was_good_is_asked_next_and_one_that_was_bad_last() -> None:
-    choice = FrontOrder(3, 1)
-    choice.order, choice.current = [0, 1, 2], 0
+def test_a_front_that_succeeded_is_tried_next_and_one_that_failed_last() -> None:
+    front_order = FrontOrder(3, 1)
+    front_order.order, front_order.current = [0, 1, 2], 0
     assert (
-        choice.record_failure(0, 10.0) == 1
-        and choice.record_failure(1, 10.1) == 2
-        and choice.record_failure(2, 10.2) == 0
+        front_order.record_failure(0, 10.0) == 1
+        and front_order.record_failure(1, 10.1) == 2
+        and front_order.record_failure(2, 10.2) == 0
     )
-    choice.record_success(2)
-    assert RetryState(choice, RetryBudget(0.2), 100.0, True, True).front == 2
-    assert (
-        choice.record_failure(2, 10.3) == 0 and choice.record_failure(0, 11.05) == 1
-    )  # it is a second ago that 0 and 1 were bad
+    front_order.record_success(2)
+    assert RetryState(front_order, RetryBudget(0.2), 100.0, True, True).front == 2
+    # All others are in their cooldown, so the next in turn is tried.
+    assert front_order.record_failure(2, 10.3) == 0 and front_order.record_failure(0, 11.05) == 1
 
 
-def test_credit_is_not_saved_up_for_a_storm() -> None:
+def test_saved_retry_credit_is_bounded() -> None:
     budget = RetryBudget(0.2)
     for _ in range(1000):
         budget.earn()
@@ -418,20 +427,20 @@
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_a_whole_answer_is_begun_anew_where_nothing_was_seen(fleet: Fleet, kind: str) -> None:
-    async def scene(client: Client, fronts: list[Served]) -> None:
+def test_a_buffered_answer_is_started_anew_at_another_front(fleet: Fleet, kind: str) -> None:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
         task = asyncio.ensure_future(client.complete("w", "x" * 400, max_tokens=20, timeout=5.0))
         while not fronts[0].link.calls or not fronts[0].link.calls[0].given:
             await asyncio.sleep(0.001)
-        fleet.vanish(fronts[0])
+        fleet.kill(fronts[0])
         found = await task
         assert found.text == "t" * 20 and found.tries > 1 and fronts[1].core.tally.finished == 1
 
-    two_fronts(fleet, kind, scene)
+    run_with_two_fronts(fleet, kind, scenario)
 
 
-def test_a_session_that_is_told_to_go_gets_nothing_new(fleet: Fleet) -> None:
-    async def scene(client: Client, fronts: list[Served]) -> None:
+def test_a_closing_session_gets_no_new_request(fleet: Fleet) -> None:
+    async def scenario(client: Client, fronts: list[Served]) -> None:
         assert (await client.complete("w", "x", max_tokens=2)).tries == 1
         fleet.call(lambda: setattr(fronts[0].session_server, "closing_window", 30.0))
         fleet.call(fronts[0].session_server.stop)
@@ -441,10 +450,10 @@
         assert fronts[1].core.tally.finished == 1 and fronts[0].manager.repeat_counter.first_requests == 1
         assert fronts[0].manager.repeat_counter.repeats == 0
 
-    two_fronts(fleet, "websocket", scene)
+    run_with_two_fronts(fleet, "websocket", scenario)
 
 
-def test_no_try_is_begun_past_the_callers_deadline() -> None:
+def test_no_attempt_starts_past_the_deadline() -> None:
     retry_state = RetryState(FrontOrder(2, 1), RetryBudget(1.0), 10.0, True, True)
     assert (
         retry_state.next_attempt(FailureKind.REFUSED, 9.0, 2.0) is None
--- a/tests/test_completions.py
+++ b/tests/test_completions.py
@@ -1,4 +1,4 @@
-"""Completions over HTTP as an independent client sees them, on the same core as sessions."""
+"""Completions over HTTP as seen by an independent client, on the same core as sessions."""
 
 import asyncio
 import json
@@ -11,14 +11,14 @@
 from heathford.fuzz.sessions import Served
 from heathford.interface import Effect
 
-Scene = Callable[[Served], Awaitable[None]]
+Scenario = Callable[[Served], Awaitable[None]]
 
 
-def play(scene: Scene, effect: Effect = Effect.IDEMPOTENT, **figures: Any) -> None:
+def run_scenario(scenario: Scenario, effect: Effect = Effect.IDEMPOTENT, **figures: Any) -> None:
     async def run() -> None:
         served = Served(effect, **figures)
         async with asyncio.timeout(10.0):
-            await scene(served)
+            await scenario(served)
             while served.held:
                 await asyncio.sleep(0.001)
         served.server.stop()
@@ -41,7 +41,7 @@
     return reader, writer
 
 
-async def answer(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], bytes]:
+async def receive(reader: asyncio.StreamReader) -> tuple[int, dict[str, str], bytes]:
     head, _, body = (await reader.read()).partition(b"\r\n\r\n")
     first, *lines = head.decode().split("\r\n")
     fields = {k.lower(): v for k, v in (line.split(": ", 1) for line in lines)}
@@ -53,31 +53,31 @@
     return int(first.split()[1]), fields, body
 
 
-async def asks(served: Served, body: Any, **headers: str) -> tuple[int, dict[str, str], bytes]:
+async def send_and_receive(served: Served, body: Any, **headers: str) -> tuple[int, dict[str, str], bytes]:
     reader, writer = await send(served, body, **headers)
-    found = await answer(reader)
+    found = await receive(reader)
     writer.close()
     return found
 
 
-ASK = {"model": "w", "prompt": "x" * 400, "max_tokens": 5}
+REQUEST = {"model": "w", "prompt": "x" * 400, "max_tokens": 5}
 
 
-def test_whole_and_streamed() -> None:
-    async def scene(served: Served) -> None:
-        status, fields, body = await asks(served, ASK)
-        said = json.loads(body)
-        assert status == 200 and said["final"] == "finished" and said["choices"][0]["text"] == "ttttt"
+def test_complete_and_streamed_answers() -> None:
+    async def scenario(served: Served) -> None:
+        status, fields, body = await send_and_receive(served, REQUEST)
+        message = json.loads(body)
+        assert status == 200 and message["final"] == "finished" and message["choices"][0]["text"] == "ttttt"
         assert fields["ratelimit"].startswith('"front";r=')
-        status, fields, body = await asks(
-            served, {**ASK, "stream": True, "stream_options": {"include_usage": True}}
+        status, fields, body = await send_and_receive(
+            served, {**REQUEST, "stream": True, "stream_options": {"include_usage": True}}
         )
         events = [json.loads(e[6:]) for e in body.decode().split("\n\n") if e and e != "data: [DONE]"]
         assert fields["content-type"] == "text/event-stream" and body.endswith(b"data: [DONE]\n\n")
         assert "".join(e["choices"][0]["text"] for e in events if e["choices"]) == "ttttt"
         assert events[-1]["usage"] == {"completion_tokens": 5} and events[-2]["final"] == "finished"
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
@@ -85,51 +85,51 @@
     [
         (b"{", 400, "no JSON"),
         ([], 400, "an object"),
-        ({**ASK, "stream": 1}, 400, "stream"),
-        ({**ASK, "model": "y"}, 400, "allowed are w"),
-        ({**ASK, "max_tokens": 0}, 400, "max_tokens"),
-        ({**ASK, "timeout": -2}, 400, "timeout"),
+        ({**REQUEST, "stream": 1}, 400, "stream"),
+        ({**REQUEST, "model": "y"}, 400, "allowed are w"),
+        ({**REQUEST, "max_tokens": 0}, 400, "max_tokens"),
+        ({**REQUEST, "timeout": -2}, 400, "timeout"),
     ],
 )
-def test_bad_requests_are_problems(body: Any, status: int, what: str) -> None:
-    async def scene(served: Served) -> None:
-        found, fields, said = await asks(served, body)
+def test_invalid_requests_get_problem_details(body: Any, status: int, what: str) -> None:
+    async def scenario(served: Served) -> None:
+        found, fields, message = await send_and_receive(served, body)
         assert found == status and fields["content-type"] == "application/problem+json"
-        assert what in json.loads(said)["detail"]
+        assert what in json.loads(message)["detail"]
 
-    play(scene)
+    run_scenario(scenario)
 
 
-def test_no_room_is_429_with_when_to_come_back() -> None:
-    async def scene(served: Served) -> None:
-        status, fields, body = await asks(served, ASK)
-        said = json.loads(body)
+def test_without_capacity_the_status_is_429_with_retry_after() -> None:
+    async def scenario(served: Served) -> None:
+        status, fields, body = await send_and_receive(served, REQUEST)
+        message = json.loads(body)
         assert status == 429 and fields["retry-after"] == "1"
-        assert said["final"] == "rate-limited" and 0 < said["retry_after"] <= 1
+        assert message["final"] == "rate-limited" and 0 < message["retry_after"] <= 1
 
-    play(scene, most_held=10)
+    run_scenario(scenario, most_held=10)
 
 
-def test_a_client_that_goes_frees_all() -> None:
-    async def scene(served: Served) -> None:
+def test_a_client_that_disconnects_frees_all() -> None:
+    async def scenario(served: Served) -> None:
         served.link.pace = 0.02
-        reader, writer = await send(served, {**ASK, "max_tokens": 200, "stream": True})
+        reader, writer = await send(served, {**REQUEST, "max_tokens": 200, "stream": True})
         await reader.readuntil(b"data: ")
         writer.transport.abort()
         while served.held:
             await asyncio.sleep(0.001)
         assert served.core.tally.left == 1
 
-    play(scene)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
     "effect, status, taken", [(Effect.IDEMPOTENT, 200, 2), (Effect.NON_IDEMPOTENT, 200, 1)]
 )
 def test_a_repeat_on_the_other_protocol_joins_or_runs_again(effect: Effect, status: int, taken: int) -> None:
-    """Out on a WebSocket session that is lost, asked again over HTTP by the same key."""
+    """A request whose WebSocket session was lost is repeated over HTTP with the same key."""
 
-    async def scene(served: Served) -> None:
+    async def scenario(served: Served) -> None:
         served.link.pace = 0.02
         async with connect(served.url) as client:
             await client.send(
@@ -138,7 +138,7 @@
                         "jsonrpc": "2.0",
                         "id": 1,
                         "method": "completions.create",
-                        "params": {**ASK, "max_tokens": 20, "idempotency_key": "k"},
+                        "params": {**REQUEST, "max_tokens": 20, "idempotency_key": "k"},
                     }
                 )
             )
@@ -146,11 +146,11 @@
             client.transport.abort()
         while served.session_server.open:
             await asyncio.sleep(0.001)
-        found, _, body = await asks(served, {**ASK, "max_tokens": 20}, Idempotency_Key="k")
+        found, _, body = await send_and_receive(served, {**REQUEST, "max_tokens": 20}, Idempotency_Key="k")
         assert found == status and json.loads(body)["choices"][0]["text"] == "t" * 20
         assert served.core.tally.taken == taken
-        again = await asks(served, {**ASK, "max_tokens": 20}, Idempotency_Key="k")
-        assert again[2] == body and served.core.tally.taken == taken
-        assert (await asks(served, ASK, Idempotency_Key="k"))[0] == 422
+        repeat = await send_and_receive(served, {**REQUEST, "max_tokens": 20}, Idempotency_Key="k")
+        assert repeat[2] == body and served.core.tally.taken == taken
+        assert (await send_and_receive(served, REQUEST, Idempotency_Key="k"))[0] == 422
 
-    play(scene, effect)
+    run_scenario(scenario, effect)
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -1,5 +1,4 @@
-"""One service, two protocols: versions of both sides, guidance, hostile middlemen, an independent client, and
-what a terminal shows."""
+"""One service with two protocols: versions, guidance, broken connections, and the terminal."""
 
 import asyncio
 import json
@@ -29,16 +28,16 @@
 HERE = Path(__file__).parent
 
 
-def made(kind: str, ports: list[int], **more: Any) -> Client:
+def make_client(kind: str, ports: list[int], **more: Any) -> Client:
     if kind == "websocket":
         return WebSocketClient([f"ws://127.0.0.1:{p}/v1/sessions" for p in ports], **more)
     return HttpClient([f"http://127.0.0.1:{p}" for p in ports], **more)
 
 
-def run(scene: Callable[[], Awaitable[None]]) -> None:
+def run(scenario: Callable[[], Awaitable[None]]) -> None:
     async def within() -> None:
         async with asyncio.timeout(20.0):
-            await scene()
+            await scenario()
 
     asyncio.run(within())
 
@@ -77,8 +76,8 @@
             version_from_subprotocols(offered)
 
 
-def test_an_unknown_version_is_told_what_is_served() -> None:
-    async def scene() -> None:
+def test_an_unknown_version_gets_the_list_of_served_ones() -> None:
+    async def scenario() -> None:
         served = Served()
         with pytest.raises(InvalidStatus) as refused:
             await connect(served.url, subprotocols=["heathford.v7"])  # type: ignore[list-item]
@@ -90,7 +89,7 @@
             assert answer.headers["Content-Type"] == "application/problem+json"
         served.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -107,10 +106,10 @@
 def test_both_protocols_give_the_same_guidance(
     version: int, effect: Effect, refused: bool, retry: str | None
 ) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         served = Served(effect, most_held=10 if refused else 10**6)
         served.link.held = served.link.keep = True
-        asked = {"model": "w", "prompt": "x" * 400, "max_tokens": 3, "timeout": 3.0}
+        request_params = {"model": "w", "prompt": "x" * 400, "max_tokens": 3, "timeout": 3.0}
 
         async def break_all() -> None:
             while True:
@@ -124,12 +123,14 @@
         async with connect(served.url, subprotocols=names or None) as session:  # type: ignore[arg-type]
             assert session.subprotocol == (names[0] if names else None)
             await session.send(
-                json.dumps({"jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": asked})
+                json.dumps(
+                    {"jsonrpc": "2.0", "id": 1, "method": "completions.create", "params": request_params}
+                )
             )
             data = json.loads(await session.recv())["error"]["data"]
         async with httpx.AsyncClient(base_url=f"http://127.0.0.1:{served.port}") as client:
             headers = {"Heathford-Version": str(version)} if version > 1 else {}
-            answer = await client.post("/v1/completions", json=asked, headers=headers)
+            answer = await client.post("/v1/completions", json=request_params, headers=headers)
         assert answer.headers["Heathford-Version"] == str(version)
         final = "rate-limited" if refused else "aborted"
         assert data["final"] == answer.json()["final"] == final
@@ -137,12 +138,12 @@
         breaking.cancel()
         served.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize("repeatable", [True, False])
 @pytest.mark.parametrize(
-    "said, trouble, goes_on",
+    "guidance, failure, expected_front",
     [
         ("", FailureKind.ABORTED, 0),
         ("anywhere", FailureKind.ABORTED, 0),
@@ -153,21 +154,21 @@
     ],
 )
 def test_a_client_follows_guidance_where_it_is_stricter(
-    said: str, trouble: FailureKind, goes_on: int | None, repeatable: bool
+    guidance: str, failure: FailureKind, expected_front: int | None, repeatable: bool
 ) -> None:
-    choice = FrontOrder(2, 1)
-    choice.order, choice.current = [0, 1], 0
-    again = RetryState(choice, RetryBudget(0.2), 100.0, repeatable, True).next_attempt(
-        trouble, 10.0, 0.1, said
+    front_order = FrontOrder(2, 1)
+    front_order.order, front_order.current = [0, 1], 0
+    retry = RetryState(front_order, RetryBudget(0.2), 100.0, repeatable, True).next_attempt(
+        failure, 10.0, 0.1, guidance
     )
-    if trouble is FailureKind.ABORTED and not repeatable and said != "here":
-        goes_on = None
-    assert (again.front if again else None) == goes_on
+    if failure is FailureKind.ABORTED and not repeatable and guidance != "here":
+        expected_front = None
+    assert (retry.front if retry else None) == expected_front
 
 
-def test_first_tries_and_tries_again_are_counted_apart() -> None:
+def test_first_requests_and_repeats_are_counted_separately() -> None:
     tries = RepeatCounter(3, 10.0)
-    seen = [
+    are_new = [
         tries.count(*one)
         for one in (
             (0, "a", 1.0),
@@ -182,22 +183,22 @@
             (0, "d", 16.0),
         )
     ]
-    assert seen == [True, False, True, True, True, False, True, True, True, True]
+    assert are_new == [True, False, True, True, True, False, True, True, True, True]
     assert (tries.first_requests, tries.repeats) == (8, 2) and len(tries.last_seen) <= 3
 
 
-# The version before: its library, and its service.
+# The service of the previous version.
 
 
 @pytest.fixture(scope="module")
-def before(tmp_path_factory: pytest.TempPathFactory) -> Path:
+def previous_version(tmp_path_factory: pytest.TempPathFactory) -> Path:
     folder = tmp_path_factory.mktemp("version-1")
     with tarfile.open(HERE / "fixtures" / "version-1.tar.gz") as archive:
         archive.extractall(folder, filter="data")
     return folder
 
 
-def process(folder: Path, what: str) -> "subprocess.Popen[str]":
+def start_process(folder: Path, what: str) -> "subprocess.Popen[str]":
     return subprocess.Popen(
         [sys.executable, str(HERE / "version_1.py"), str(folder), what],
         text=True,
@@ -208,8 +209,8 @@
 
 
 @pytest.fixture(scope="module")
-def service_before(before: Path) -> Iterator[int]:
-    serving = process(before, "serve")
+def previous_service(previous_version: Path) -> Iterator[int]:
+    serving = start_process(previous_version, "serve")
     assert serving.stdout and serving.stdin
     yield int(serving.stdout.readline())
     serving.stdin.close()
@@ -218,7 +219,7 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 @pytest.mark.parametrize(
-    "asked, wanted",
+    "request_params, expected",
     [
         ({}, ("finished", "tttt", 1)),
         ({"repeatable": False}, ("finished", "tttt", 1)),
@@ -229,57 +230,60 @@
     ],
 )
 def test_a_service_one_version_behind_the_library(
-    service_before: int, kind: str, asked: dict[str, Any], wanted: tuple[str, str, int]
+    previous_service: int, kind: str, request_params: dict[str, Any], expected: tuple[str, str, int]
 ) -> None:
-    async def scene() -> None:
-        params: dict[str, Any] = {"model": "w", "prompt": "x", "max_tokens": 4} | asked
-        async with made(kind, [service_before]) as client:
+    async def scenario() -> None:
+        params: dict[str, Any] = {"model": "w", "prompt": "x", "max_tokens": 4} | request_params
+        async with make_client(kind, [previous_service]) as client:
             try:
                 found = await client.complete(**params)
-                assert ("finished", found.text, found.tries) == wanted
-            except BadRequest as problem:
-                assert ("badrequest", problem.text, 1) == wanted
+                assert ("finished", found.text, found.tries) == expected
+            except BadRequest as error:
+                assert ("badrequest", error.text, 1) == expected
+
+    run(scenario)
 
-    run(scene)
 
+# Broken connections.
 
-# Hostile middlemen.
 
+class BreakingProxy:
+    """A proxy that breaks the first connection.
 
-class Middleman:
-    """Passes bytes on, and breaks off as told: after so many bytes of the answer, or at a text in it."""
+    It does so after a number of bytes of the answer, or at a text in it, of which it passes on `keep` bytes.
+    """
 
     def __init__(self, port: int, after: int | None = None, at: bytes = b"", keep: int = 0) -> None:
         self.to, self.after, self.at, self.keep = port, after, at, keep
         self.broken = 0
 
     async def listen(self) -> int:
-        self.server = await asyncio.start_server(self.one, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.handle, "127.0.0.1", 0)
         return int(self.server.sockets[0].getsockname()[1])
 
-    async def one(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        there, out = await asyncio.open_connection("127.0.0.1", self.to)
+    async def handle(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+        upstream_reader, upstream_writer = await asyncio.open_connection("127.0.0.1", self.to)
 
-        async def up() -> None:
+        async def forward_requests() -> None:
             while data := await reader.read(65_536):
-                out.write(data)
-            out.close()
+                upstream_writer.write(data)
+            upstream_writer.close()
 
-        going = asyncio.ensure_future(up())
+        forwarding = asyncio.ensure_future(forward_requests())
         passed = b""
-        while data := await there.read(65_536):
+        while data := await upstream_reader.read(65_536):
             if not self.broken:
-                whole = passed + data
-                cut = self.after if self.after is not None else whole.find(self.at) + self.keep
-                if (self.after is not None and len(whole) > self.after) or (self.at and self.at in whole):
+                so_far = passed + data
+                cut = self.after if self.after is not None else so_far.find(self.at) + self.keep
+                if (self.after is not None and len(so_far) > self.after) or (self.at and self.at in so_far):
                     self.broken += 1
-                    writer.write(whole[len(passed) : cut] if cut > len(passed) else b"")
+                    writer.write(so_far[len(passed) : cut] if cut > len(passed) else b"")
                     break
-                passed = whole
+                passed = so_far
             writer.write(data)
         writer.close()
-        out.close()
-        going.cancel()
+        upstream_writer.close()
+        forwarding.cancel()
 
 
 UMLAUT = "ü".encode()
@@ -300,38 +304,40 @@
         ("websocket", {"at": b"result", "keep": 3}),
     ],
 )
-def test_a_connection_cut_in_the_middle_of_anything(
+def test_a_connection_lost_at_any_point_is_joined_again(
     kind: str, where: dict[str, Any], repeatable: bool, ended: str
 ) -> None:
-    """The key finds the answer at its front again, from the start, also where it must not run twice: the
-    caller misses nothing, gets nothing twice, and nothing is dispatched twice."""
+    """The repeat joins the request by its key, also a non-idempotent one: no text is lost or doubled.
+
+    The request runs only once.
+    """
 
-    async def scene() -> None:
+    async def scenario() -> None:
         served = Served(Effect.NON_IDEMPOTENT)
         served.link.pace, served.link.token = 0.002, "ü"
-        middleman = Middleman(served.port, **where)
-        port = await middleman.listen()
-        async with made(kind, [port], seed=1) as client:
+        proxy = BreakingProxy(served.port, **where)
+        port = await proxy.listen()
+        async with make_client(kind, [port], seed=1) as client:
             found: Finished = await client.complete(
                 "w", "x" * 40, max_tokens=8, repeatable=repeatable, timeout=5.0
             )
-        assert (found.text, ended) == ("ü" * 8, "finished") and found.tries == 2 and middleman.broken == 1
+        assert (found.text, ended) == ("ü" * 8, "finished") and found.tries == 2 and proxy.broken == 1
         assert served.core.tally.taken == 1 and served.link.sent == 2
         tries = served.manager.repeat_counter
         assert (tries.first_requests, tries.repeats) == (1, 1)
-        middleman.server.close()
+        proxy.server.close()
         served.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize("kind", KINDS)
-def test_all_fronts_refuse_in_turn_without_a_storm(kind: str) -> None:
-    async def scene() -> None:
+def test_all_fronts_refuse_without_a_retry_storm(kind: str) -> None:
+    async def scenario() -> None:
         fronts = [Served(most_held=10) for _ in range(3)]
         loop = asyncio.get_running_loop()
         begin = loop.time()
-        async with made(kind, [f.port for f in fronts], seed=1) as client:
+        async with make_client(kind, [f.port for f in fronts], seed=1) as client:
             with pytest.raises(RateLimited) as refused:
                 await client.complete("w", "x" * 400, timeout=2.0)
         assert loop.time() - begin < 2.2 and refused.value.retry_after > 0
@@ -340,18 +346,18 @@
         for front in fronts:
             front.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 @pytest.mark.parametrize("first, second", [("websocket", "http"), ("http", "websocket")])
 @pytest.mark.parametrize("draining", [False, True])
-def test_a_repeat_mid_stream_on_the_other_protocol_joins(first: str, second: str, draining: bool) -> None:
-    async def scene() -> None:
+def test_a_repeat_on_the_other_protocol_joins_the_stream(first: str, second: str, draining: bool) -> None:
+    async def scenario() -> None:
         served = Served(Effect.NON_IDEMPOTENT)
         served.link.pace = 0.02
-        asked: dict[str, Any] = {"max_tokens": 20, "idempotency_key": "k", "repeatable": False}
-        async with made(first, [served.port]) as one, made(second, [served.port]) as other:
-            stream = one.stream("w", "x", **asked)
+        request_params: dict[str, Any] = {"max_tokens": 20, "idempotency_key": "k", "repeatable": False}
+        async with make_client(first, [served.port]) as one, make_client(second, [served.port]) as other:
+            stream = one.stream("w", "x", **request_params)
             begun = asyncio.ensure_future(stream.__aiter__().__anext__())
             assert await begun == "t"
             if draining:
@@ -359,17 +365,17 @@
                     False,
                     [(e, 0, n % 2, 1, Health.DRAINING, 1.0, 0.0) for n, e in served.core.endpoints.items()],
                 )
-            repeat = await other.complete("w", "x", **asked)
+            repeat = await other.complete("w", "x", **request_params)
             found = await stream.result()
         assert repeat.text == found.text == "t" * 20 and repeat.completion == found.completion
         assert served.core.tally.taken == 1 and served.link.sent == 2
         served.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 def test_an_independent_client_streams() -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         served = Served()
         served.link.pace = 0.002
         text, done = "", False
@@ -390,7 +396,7 @@
         assert done and text == "t" * 30
         served.server.stop()
 
-    run(scene)
+    run(scenario)
 
 
 # The terminal interface.
@@ -407,11 +413,11 @@
         ("v:", []),
     ],
 )
-def test_what_a_line_asks_for(line: str, found: list[tuple[str, str]]) -> None:
+def test_prompts_of_an_input_line(line: str, found: list[tuple[str, str]]) -> None:
     assert prompts_of(line, ["w", "v"]) == found
 
 
-def test_a_board_forgets_the_oldest_that_is_over() -> None:
+def test_a_board_drops_the_oldest_finished_panel() -> None:
     board = Board(2)
     first, second = board.ask("w", "a", 0.0)[0], board.ask("w", "b", 0.0)[0]
     second.failed(RateLimited("full", 0.5), 1.0)
@@ -425,9 +431,9 @@
 
 @pytest.mark.parametrize("kind", KINDS)
 def test_try_shows_streams_side_by_side_and_their_ends(kind: str) -> None:
-    async def scene() -> None:
+    async def scenario() -> None:
         served = Served()
-        app = TryApp(lambda: made(kind, [served.port]), ["w", "none"], 5, 3.0)
+        app = TryApp(lambda: make_client(kind, [served.port]), ["w", "none"], 5, 3.0)
         async with app.run_test() as pilot:
             await pilot.press(*"a || none: b")
             await pilot.press("enter")
@@ -446,4 +452,4 @@
             assert not app.board.panels
         served.server.stop()
 
-    run(scene)
+    run(scenario)
--- a/tests/version_1.py
+++ b/tests/version_1.py
@@ -1,7 +1,9 @@
-"""Runs the version before, from its archive, in a process of its own: version_1.py FOLDER ask | serve.
+"""Runs the previous version, from its extracted archive, in a process of its own.
 
-ask: a line of JSON on standard input for each completion, a line with its outcome back. serve: says the port
-of a front of that version and serves until standard input closes.
+usage: version_1.py FOLDER ask | serve
+
+ask: reads a request as a line of JSON from standard input and prints its outcome as a line, repeatedly.
+serve: prints the port of a front node of that version and serves until standard input closes.
 """
 
 import asyncio
@@ -61,7 +63,9 @@
     sys.path.insert(0, sys.argv[1])
     import heathford
 
-    assert str(heathford.__file__).startswith(sys.argv[1]), "the present version was loaded"
+    assert str(heathford.__file__).startswith(sys.argv[1]), (
+        "the current version was loaded instead of the archive"
+    )
     if sys.argv[2] == "ask":
         ask()
     else:
