--- a/heathford/platform/engine_call.py
+++ b/heathford/platform/engine_call.py
@@ -24,8 +24,8 @@
 class EngineCall(Exchange):
     """One attempt; it ends once, with the first outcome that is reported.
 
-    name: the id that the engine knows the request by; body: the request target and the bytes to post; mark:
-    the idempotency key, or empty; timeout: s from now.
+    name: the id that the engine knows the request by; body: the request target and the bytes to post;
+    idempotency_key: or empty; timeout: s from now.
     """
 
     link: "PlatformLink"
@@ -36,12 +36,12 @@
         endpoint: Endpoint,
         name: str,
         body: tuple[str, bytes],
-        mark: str,
+        idempotency_key: str,
         timeout: float,
         events: CallEvents,
     ) -> None:
         super().__init__(link, endpoint, timeout)
-        self.name, self.body, self.mark, self.events = name, body, mark, events
+        self.name, self.body, self.idempotency_key, self.events = name, body, idempotency_key, events
         self.answer = Answer(endpoint.role is Role.PREFILL)
         self.last_event_at = 0.0  # s on the loop's clock
         self.stream_started = False  # at least one event was received
@@ -108,8 +108,8 @@
         self.transfer = self.link.transfers.start(self.endpoint.number, len(body), self.expires_at - now, now)
         budget_ms = max(1, int(1000 * (self.expires_at - now - self.transfer.reserved_time)))
         headers = {"X-Call-Id": self.name, "X-Budget-Ms": str(budget_ms)}
-        if self.mark:
-            headers["Idempotency-Key"] = self.mark
+        if self.idempotency_key:
+            headers["Idempotency-Key"] = self.idempotency_key
         return encode_request("POST", target, self.endpoint.address, headers, body)
 
     def cancel(self) -> None:
--- a/heathford/platform/link.py
+++ b/heathford/platform/link.py
@@ -26,7 +26,7 @@
 # s after a response until its connection is used again: some engines close it then, or send the response once
 # more some milliseconds later, which would be taken for the response to the next request
 REUSE_DELAY = 0.05
-RELEASE_RETRY_DELAY = 0.5  # s from an unconfirmed release to its first retry; each further one takes twice
+RELEASE_RETRY_DELAY = 0.5  # s from an unconfirmed release to its retry; doubles for each further one
 MAX_RELEASE_RETRY_DELAY = 4.0  # s: all retries together outlast a network outage of several seconds
 
 log = structlog.get_logger()
@@ -82,11 +82,11 @@
         name: str,
         body: Any,
         kv: Mapping[str, Any] | None,
-        mark: str,
+        idempotency_key: str,
         timeout: float,
         events: CallEvents,
     ) -> EngineCall:
-        call = EngineCall(self, endpoint, name, body, mark, timeout, events)
+        call = EngineCall(self, endpoint, name, body, idempotency_key, timeout, events)
         if name in self.retry_timers:
             self.retry_timers.pop(name).cancel()
         if name in self.abandoned_prefills:
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -58,13 +58,13 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
-        connect_late(monkeypatch, setup.node.loop, a.listener.getsockname()[1])
+        prefill_engine, decode_engine = setup.engines
+        connect_late(monkeypatch, setup.node.loop, prefill_engine.listener.getsockname()[1])
         client = setup.client()
         client.send(request("c0", budget=1500))
-        await until(lambda: bool(client.answers) or a.posts > 0, "an attempt or an answer")
+        await until(lambda: bool(client.answers) or prefill_engine.posts > 0, "an attempt or an answer")
         await run_loop_turns()
-        still_open = sum(not peer_ended(connection) for connection in a.connections)
+        still_open = sum(not peer_ended(connection) for connection in prefill_engine.connections)
         assert setup.node.link.pools.open == still_open
 
     run_scenario(tmp_path, scenario)
@@ -78,15 +78,15 @@
     nothing_unread = EngineConnection.nothing_unread
 
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
+        prefill_engine, decode_engine = setup.engines
         await setup.answer(setup.client(), "c0")
         await setup.wait_until_reusable()
-        idle_connection = b.connections[0]
+        idle_connection = decode_engine.connections[0]
 
         def check_then_close(self: EngineConnection) -> bool:
             result = nothing_unread(self)
             if self.transport and self.transport.get_extra_info("peername")[1] == int(
-                b.address.rpartition(":")[2]
+                decode_engine.address.rpartition(":")[2]
             ):
                 idle_connection.sock.close()
             return result
@@ -94,11 +94,11 @@
         monkeypatch.setattr(EngineConnection, "nothing_unread", check_then_close)
         client = setup.client()
         client.send(request("c1", request_class=request_class))
-        (await a.wait_for_request(2)).sock.sendall(READ)
+        (await prefill_engine.wait_for_request(2)).sock.sendall(READ)
         if further:
-            await until(lambda: a.posts + b.posts > 3, "a further attempt")
+            await until(lambda: prefill_engine.posts + decode_engine.posts > 3, "a further attempt")
         else:
-            assert await client.wait_for_answers(1) == [502] and b.posts == 1
+            assert await client.wait_for_answers(1) == [502] and decode_engine.posts == 1
 
     run_scenario(tmp_path, scenario)
 
@@ -107,17 +107,17 @@
     """The duplicate arrives after the reuse delay and before the next request is written."""
 
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
+        prefill_engine, decode_engine = setup.engines
         client = setup.client()
         await setup.answer(client, "c0")
         await setup.wait_until_reusable()
         client.send(request("c1"))
-        connection = await a.wait_for_request(2)
-        b.connections[0].sock.sendall(GOOD)  # the first answer again, without a request
+        connection = await prefill_engine.wait_for_request(2)
+        decode_engine.connections[0].sock.sendall(GOOD)  # the first answer again, without a request
         connection.sock.sendall(READ)
-        await until(lambda: b.posts == 2, "the write")
-        assert len(b.connections) == 2 and peer_ended(b.connections[0])
-        (await b.wait_for_request(2)).sock.sendall(GOOD)
+        await until(lambda: decode_engine.posts == 2, "the write")
+        assert len(decode_engine.connections) == 2 and peer_ended(decode_engine.connections[0])
+        (await decode_engine.wait_for_request(2)).sock.sendall(GOOD)
         await until(lambda: client.whole_streams == 2, "the stream's end")
 
     run_scenario(tmp_path, scenario)
@@ -130,20 +130,20 @@
     connection."""
 
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
+        prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0"))
-        (await a.wait_for_request()).sock.sendall(READ)
-        first = await b.wait_for_request()
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        first = await decode_engine.wait_for_request()
         other = setup.client()
         other.send(request("c1"))  # its prefill attempt is in flight, so that its decode attempt follows soon
-        prefilled = await a.wait_for_request(2)
+        prefilled = await prefill_engine.wait_for_request(2)
         first.sock.sendall(GOOD)
         await until(lambda: client.whole_streams == 1, "the stream's end")
         answered_at = setup.node.loop.time()
         await asyncio.sleep(DUPLICATE_DELAY)
         prefilled.sock.sendall(READ)
-        connection = await b.wait_for_request(2)
+        connection = await decode_engine.wait_for_request(2)
         [sent_at] = [
             record.time
             for record in setup.node.core.history.of("c1")
@@ -164,17 +164,17 @@
 @pytest.mark.parametrize("step", ["error", "full"])
 def test_an_answer_and_the_end_of_its_connection_in_one_loop_iteration(tmp_path: Path, step: str) -> None:
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
+        prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0", request_class="booking"))
-        (await a.wait_for_request()).sock.sendall(READ)
-        connection = await b.wait_for_request()
+        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        connection = await decode_engine.wait_for_request()
         connection.sock.sendall(WORDS[step])
         connection.sock.close()
         if step == "error":  # may have run
-            assert await client.wait_for_answers(1) == [502] and b.posts == 1
+            assert await client.wait_for_answers(1) == [502] and decode_engine.posts == 1
         else:
-            await until(lambda: b.posts == 2, "a further attempt")
+            await until(lambda: decode_engine.posts == 2, "a further attempt")
         assert setup.node.link.outcomes.total() >= 2
 
     run_scenario(tmp_path, scenario)
@@ -188,7 +188,7 @@
     closed: list[CallProtocol] = []
 
     async def scenario(setup: FrontSetup) -> None:
-        a, b = setup.engines
+        prefill_engine, decode_engine = setup.engines
         watch = setup.node.watch
 
         def move_as_it_opens(self: CallProtocol, transport: asyncio.BaseTransport) -> None:
