--- a/heathford/platform/request_acceptance.py
+++ b/heathford/platform/request_acceptance.py
@@ -68,7 +68,7 @@
         raise RequestError(405, "only POST is known here")
     headers = request.headers
     for field in SINGLE_HEADERS:
-        if field in request.repeated:
+        if field in request.repeated_fields:
             raise RequestError(400, f"{field} told twice")
     name = headers.get("x-call-id", "")
     if not CALL_ID_PATTERN.fullmatch(name):
--- a/heathford/wire/requests.py
+++ b/heathford/wire/requests.py
@@ -36,7 +36,7 @@
         self.max_body_bytes = max_body_bytes
         self.buffer += rest
         self.method = self.target = ""
-        self.repeated: dict[str, None] = {}  # names of fields that came more than once
+        self.repeated_fields: dict[str, None] = {}  # names of fields that came more than once
         self.body = bytearray()
         self.expects_continue = False  # the client sends its body only after a 100 (Continue)
 
@@ -84,7 +84,7 @@
             if not colon or not FIELD_NAME.fullmatch(name) or not FIELD_VALUE.fullmatch(value):
                 raise RequestError(400, "a header line that can't be read")
             if name in self.headers:
-                self.repeated[name] = None
+                self.repeated_fields[name] = None
             self.headers[name] = value
         self.method, self.target = parts[1], parts[2]
         self.keep_alive = "close" not in parse_token_list(self.headers.get("connection", ""))
@@ -99,7 +99,7 @@
         """
         coding, length = self.headers.get("transfer-encoding"), self.headers.get("content-length")
         for name in ("transfer-encoding", "content-length", "host"):
-            if name in self.repeated:
+            if name in self.repeated_fields:
                 raise RequestError(400, f"{name} told twice")
         if coding is not None:
             if length is not None:
