--- a/benchmarks/store_cost.py
+++ b/benchmarks/store_cost.py
@@ -33,7 +33,7 @@
     for n in range(count):
         changes = (Change("s", b"%d" % n, VALUE),)
         journal.write([(changes, 0.0)])
-        view = view.after(changes, n + 1, 0.0)
+        view = view.with_changes(changes, n + 1, 0.0)
     took = time.perf_counter() - begin
     files.close()
     return count / took
--- a/benchmarks/store_kills.py
+++ b/benchmarks/store_kills.py
@@ -64,8 +64,8 @@
                     said[key] = amount
             running.wait()
             found = recover(RealFiles(folder))
-            ones = {k.decode(): int(v) for k, (v, _) in found.grown.spaces.get("one", {}).items()}
-            total = int(found.grown.spaces.get("sum", {}).get(b"total", (b"0", None))[0])
+            ones = {k.decode(): int(v) for k, (v, _) in found.view_builder.spaces.get("one", {}).items()}
+            total = int(found.view_builder.spaces.get("sum", {}).get(b"total", (b"0", None))[0])
             torn += bool(found.torn)
             lost = [key for key in said if ones.get(key) != said[key]]
             if lost or found.damage or sum(ones.values()) != total:
--- a/heathford/batch/api.py
+++ b/heathford/batch/api.py
@@ -7,11 +7,11 @@
 import orjson
 from tornado.web import Finish, RequestHandler, stream_request_body
 
-from heathford.batch.life import OVER, Batch, StatusError
+from heathford.batch.state import OVER, Batch, StatusError
 from heathford.batch.lines import ENDPOINT
 from heathford.batch.multipart import Multipart, MultipartError, What, boundary_of
 from heathford.batch.runner import Runner
-from heathford.batch.shelf import FullError, Incoming
+from heathford.batch.file_storage import FullError, Incoming
 from heathford.completions import responses
 from heathford.store.store import StoreError
 
@@ -63,7 +63,7 @@
         }
 
     def file_entry(self, name: str) -> dict[str, Any]:
-        entry = self.runner.shelf.get(name, self.member)
+        entry = self.runner.file_storage.get(name, self.member)
         if entry is None:
             self.refuse(404, "Not Found", f"no file {name!r} of this member")
             raise AssertionError
@@ -89,7 +89,7 @@
         if self.request.method != "POST":
             return
         connection: Any = self.request.connection
-        connection.set_max_body_size(self.runner.shelf.most + (1 << 20))
+        connection.set_max_body_size(self.runner.file_storage.most + (1 << 20))
         try:
             self.form = Multipart(boundary_of(self.request.headers.get("Content-Type", "")))
         except MultipartError as problem:
@@ -105,7 +105,7 @@
                     if name == "file":
                         if self.incoming:
                             raise MultipartError("file: allowed is one")
-                        self.filename, self.incoming = filename or "file", self.runner.shelf.begin()
+                        self.filename, self.incoming = filename or "file", self.runner.file_storage.begin()
                     else:
                         self.fields[name] = b""
                 elif what is What.DATA and self.field == "file" and self.incoming:
@@ -148,12 +148,12 @@
         if self.incoming is None:
             self.refuse(400, "Bad Request", "file: is missing")
             return
-        incoming, shelf = self.incoming, self.runner.shelf
+        incoming, file_storage = self.incoming, self.runner.file_storage
         self.incoming = None
-        entry = shelf.entry(incoming.name, self.member, self.filename[:256], "batch", incoming.size)
+        entry = file_storage.entry(incoming.name, self.member, self.filename[:256], "batch", incoming.size)
         try:
             await asyncio.get_running_loop().run_in_executor(None, incoming.ends)
-            await shelf.record(entry)
+            await file_storage.record(entry)
         except (OSError, StoreError) as problem:
             incoming.drop()
             self.refuse(507, "Insufficient Storage", f"the disk refuses it: {problem}")
@@ -163,7 +163,7 @@
         purpose = self.get_query_argument("purpose", "")
         mine = [
             e
-            for e in self.runner.shelf.listed.values()
+            for e in self.runner.file_storage.listed.values()
             if e["member"] == self.member and purpose in ("", e["purpose"])
         ]
         mine.sort(key=lambda e: (-e["created_at"], e["id"]))
@@ -176,10 +176,10 @@
 
     async def delete(self, name: str) -> None:
         self.file_entry(name)
-        if name in self.runner.shelf.in_use:
+        if name in self.runner.file_storage.in_use:
             self.refuse(409, "Conflict", "a batch that is not over, or a download, uses this file")
         try:
-            await self.runner.shelf.remove(name)
+            await self.runner.file_storage.remove(name)
         except StoreError as problem:
             self.refuse(503, "Service Unavailable", str(problem))
         self.say({"id": name, "object": "file", "deleted": True})
@@ -187,16 +187,16 @@
 
 class ContentHandler(Api):
     async def get(self, name: str) -> None:
-        entry, shelf = self.file_entry(name), self.runner.shelf
+        entry, file_storage = self.file_entry(name), self.runner.file_storage
         self.set_header("Content-Type", "application/jsonl")
         self.set_header("Content-Length", str(entry["bytes"]))
-        shelf.hold(name)
+        file_storage.hold(name)
         try:
-            for data in shelf.chunks(name):
+            for data in file_storage.chunks(name):
                 self.write(data)
                 await self.flush()
         finally:
-            shelf.let_go(name)
+            file_storage.let_go(name)
         await self.finish()
 
 
--- a/heathford/batch/shelf.py
+++ b/heathford/batch/file_storage.py
@@ -25,7 +25,7 @@
     return f"{kind}-{secrets.token_hex(12)}"
 
 
-class Shelf:
+class FileStorage:
     """most: bytes of one file; most_all: of all. A file is listed once its record is on disk; what has no
     record is removed at the start."""
 
@@ -98,17 +98,17 @@
 class Incoming:
     """A file on its way in; it is nothing until it is recorded."""
 
-    def __init__(self, shelf: Shelf, name: str) -> None:
-        self.shelf, self.name, self.size = shelf, name, 0
-        self.file = shelf.path(name + ".part").open("wb")
+    def __init__(self, file_storage: FileStorage, name: str) -> None:
+        self.file_storage, self.name, self.size = file_storage, name, 0
+        self.file = file_storage.path(name + ".part").open("wb")
 
     def write(self, data: bytes) -> None:
         """Raises FullError or OSError."""
         self.size += len(data)
-        if self.size > self.shelf.most:
-            raise FullError(f"a file of more than {self.shelf.most} bytes")
-        if self.shelf.used + self.size > self.shelf.most_all:
-            raise FullError(f"all files together would pass {self.shelf.most_all} bytes")
+        if self.size > self.file_storage.most:
+            raise FullError(f"a file of more than {self.file_storage.most} bytes")
+        if self.file_storage.used + self.size > self.file_storage.most_all:
+            raise FullError(f"all files together would pass {self.file_storage.most_all} bytes")
         self.file.write(data)
 
     def ends(self) -> None:
@@ -116,12 +116,12 @@
         self.file.flush()
         os.fdatasync(self.file.fileno())
         self.file.close()
-        self.shelf.path(self.name + ".part").rename(self.shelf.path(self.name))
+        self.file_storage.path(self.name + ".part").rename(self.file_storage.path(self.name))
 
     def drop(self) -> None:
         self.file.close()
-        self.shelf.path(self.name + ".part").unlink(missing_ok=True)
-        self.shelf.path(self.name).unlink(missing_ok=True)
+        self.file_storage.path(self.name + ".part").unlink(missing_ok=True)
+        self.file_storage.path(self.name).unlink(missing_ok=True)
 
 
 class Answers:
--- a/heathford/batch/runner.py
+++ b/heathford/batch/runner.py
@@ -12,10 +12,10 @@
 import orjson
 import structlog
 
-from heathford.batch.life import OVER, Again, Batch, Status, Tries
+from heathford.batch.state import OVER, Again, Batch, Status, Tries
 from heathford.batch.lines import Checked, Cutter, Line, LineError, read_line
 from heathford.batch.scheduling import Fair, Limit, Queue
-from heathford.batch.shelf import Answers, Shelf, new_id
+from heathford.batch.file_storage import Answers, FileStorage, new_id
 from heathford.core.tasks import Tasks
 from heathford.sessions.guidance import Retry
 from heathford.sessions.session import SessionManager, Session
@@ -134,11 +134,17 @@
         self,
         manager: SessionManager,
         store: Store,
-        shelf: Shelf,
+        file_storage: FileStorage,
         now: Callable[[], float],
         wall: Callable[[], float] = time.time,
     ) -> None:
-        self.manager, self.store, self.shelf, self.now, self.wall = manager, store, shelf, now, wall
+        self.manager, self.store, self.file_storage, self.now, self.wall = (
+            manager,
+            store,
+            file_storage,
+            now,
+            wall,
+        )
         self.limit, self.fair = Limit(), Fair[int]()
         self.batches = {key.decode(): Batch.read(orjson.loads(value)) for key, value in store.scan(SPACE)}
         self.running: dict[str, Running] = {}
@@ -158,7 +164,7 @@
         batch = Batch(new_id("batch"), member, file, self.wall(), window, dict(metadata))
         await self.keep(batch)
         self.batches[batch.id] = batch
-        self.shelf.hold(file)
+        self.file_storage.hold(file)
         self.tasks.spawn(self.check(batch))
         return batch
 
@@ -181,7 +187,7 @@
         """Goes on with what earlier starts have left."""
         for batch in list(self.batches.values()):
             if batch.status not in OVER:
-                self.shelf.hold(batch.input_file)
+                self.file_storage.hold(batch.input_file)
                 self.tasks.spawn(self.check(batch))
         self.tasks.spawn(self.run())
 
@@ -223,12 +229,12 @@
                 batch.mistakes = [m.body() for m in checked.mistakes]
                 batch.goes(Status.FAILED, self.wall())
                 await self.keep(batch)
-                self.shelf.let_go(batch.input_file)
+                self.file_storage.let_go(batch.input_file)
                 return
             batch.validated(len(checked.places), self.wall())
             await self.keep(batch)
         self.running[batch.id] = running
-        running.answers = Answers(self.shelf.folder, batch.id, batch.outputs)
+        running.answers = Answers(self.file_storage.folder, batch.id, batch.outputs)
         if batch.status in (Status.CANCELLING, Status.FINALIZING):
             cancelled = batch.status is Status.CANCELLING
             self.end_soon(running, Status.CANCELLED if cancelled else Status.COMPLETED)
@@ -244,7 +250,7 @@
     def read_file(self, batch: Batch) -> Checked:
         checked, cutter = Checked(self.manager.catalog), Cutter()
         try:
-            for data in self.shelf.chunks(batch.input_file):
+            for data in self.file_storage.chunks(batch.input_file):
                 for line in cutter.feed(data):
                     checked.take(*line)
             for line in cutter.end():
@@ -257,7 +263,7 @@
     def line(self, running: Running, index: int) -> Line:
         """Raises LineError or OSError: the file was whole when it was checked."""
         number, place, size = running.places[index]
-        with self.shelf.path(running.batch.input_file).open("rb") as file:
+        with self.file_storage.path(running.batch.input_file).open("rb") as file:
             file.seek(place)
             return read_line(file.read(size).rstrip(b"\n"), number, self.manager.catalog)
 
@@ -400,22 +406,22 @@
             if size:
                 name = f"file-{batch.id.removeprefix('batch-')}-{kind}"
                 # The same name at whichever start: what a crash left under it is written over.
-                await loop.run_in_executor(None, whole, path, self.shelf.path(name))
+                await loop.run_in_executor(None, whole, path, self.file_storage.path(name))
                 filename = f"{batch.id}_{kind}.jsonl"
-                entry = self.shelf.entry(name, batch.member, filename, "batch_output", size)
+                entry = self.file_storage.entry(name, batch.member, filename, "batch_output", size)
                 names[kind] = entry
-                changes.append(self.shelf.change(entry))
+                changes.append(self.file_storage.change(entry))
         batch.output_file = names["output"]["id"] if "output" in names else ""
         batch.error_file = names["error"]["id"] if "error" in names else ""
         # Guards against a status seen before its files: who sees it fetches them at once.
         for entry in names.values():
-            self.shelf.took(entry["id"], entry)
+            self.file_storage.took(entry["id"], entry)
         batch.goes(how, self.wall())
         await self.keep_surely(batch, *changes)
         for path in running.answers.paths:
             path.unlink(missing_ok=True)
         self.running.pop(batch.id, None)
-        self.shelf.let_go(batch.input_file)
+        self.file_storage.let_go(batch.input_file)
         log.info(
             "batch over", batch=batch.id, status=how.value, completed=batch.completed, failed=batch.failed
         )
--- a/heathford/cli/main.py
+++ b/heathford/cli/main.py
@@ -430,10 +430,10 @@
 
 def store_files(folder: Path) -> Any:
     from heathford.store.files import LockedError
-    from heathford.store.tools import opened
+    from heathford.store.tools import open_store_files
 
     try:
-        return opened(folder)
+        return open_store_files(folder)
     except (LockedError, OSError) as problem:
         raise click.ClickException(str(problem)) from None
 
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -13,7 +13,7 @@
 
 from heathford.batch.api import routes as batch_routes
 from heathford.batch.runner import Runner
-from heathford.batch.shelf import Shelf
+from heathford.batch.file_storage import FileStorage
 from heathford.completions.handler import routes
 from heathford.core.core import Core
 from heathford.engines.link import EngineLink
@@ -179,8 +179,10 @@
             self.manager.memory = memory
             if self.batches and memory.store:
                 folder = self.script_folder / self.batches.folder / self.declared.name
-                shelf = Shelf(folder, memory.store, self.batches.most_file, self.batches.most_files)
-                self.runner = Runner(self.manager, memory.store, shelf, loop.time)
+                file_storage = FileStorage(
+                    folder, memory.store, self.batches.most_file, self.batches.most_files
+                )
+                self.runner = Runner(self.manager, memory.store, file_storage, loop.time)
                 self.application.add_handlers(".*", batch_routes(self.runner, self.manager.catalog.members))
                 self.runner.start()
             log.info("store open", start=memory.start, completions=restored)
--- a/heathford/fuzz/store.py
+++ b/heathford/fuzz/store.py
@@ -8,7 +8,7 @@
 
 from heathford.standin.disk import Disk
 from heathford.store.format import Change
-from heathford.store.journal import DamageError, Journal, recover, segment_of
+from heathford.store.journal import DamageError, Journal, recover, parse_segment_name
 
 Content = dict[tuple[str, bytes], bytes]
 
@@ -25,7 +25,7 @@
     for n in range(records):
         changes = changes_of(n)
         store.write([(changes, float(n))])
-        view = view.after(changes, n + 1, float(n))
+        view = view.with_changes(changes, n + 1, float(n))
         if n in (3, 5):
             for _ in store.snapshot(view):
                 pass
@@ -51,7 +51,7 @@
     """Return how many corruptions were tested, how many were reported as damage, how many went wrong."""
     intact = make_store(records)
     names = intact.names()
-    newest = max((s for s in map(segment_of, names) if s), key=lambda s: s.generation).name
+    newest = max((s for s in map(parse_segment_name, names) if s), key=lambda s: s.generation).name
     states = [content_after(n) for n in range(records + 1)]
     tested = reported = wrong = 0
     for name in names:
@@ -72,7 +72,7 @@
                 recovered = content_of(journal)
                 # Only records at the end of the newest segment may be lost, if nothing proves them.
                 correct = recovered == states[-1] or (name == newest and recovered in states)
-                journal.settle()
+                journal.persist_recovered()
                 journal.write([(changes_of(0), 0.0)])
                 correct = correct and content_of(Journal(disk, recover(disk))) == recovered | content_after(1)
                 if not correct:
--- a/heathford/standin/disk.py
+++ b/heathford/standin/disk.py
@@ -111,7 +111,7 @@
             self.room += len(content.now)
         self.changes.append(("-", name, content))
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         self.called("sync_names", "")
         self.safe_names = dict(self.files)
         self.changes = []
--- a/heathford/store/files.py
+++ b/heathford/store/files.py
@@ -27,7 +27,7 @@
 
     def remove(self, name: str) -> None: ...
 
-    def sync_names(self) -> None: ...
+    def sync_directory(self) -> None: ...
 
 
 class LockedError(Exception):
@@ -93,7 +93,7 @@
         self.forget(name)
         os.unlink(self.folder / name)
 
-    def sync_names(self) -> None:
+    def sync_directory(self) -> None:
         descriptor = os.open(self.folder, os.O_RDONLY | os.O_DIRECTORY)
         try:
             os.fsync(descriptor)
--- a/heathford/store/journal.py
+++ b/heathford/store/journal.py
@@ -31,7 +31,7 @@
     read_header,
     record_at,
 )
-from heathford.store.views import Growing, View
+from heathford.store.views import ViewBuilder, View
 
 
 class JournalError(Exception):
@@ -57,10 +57,10 @@
 
 
 @dataclass
-class Found:
+class RecoveryResult:
     """What recovery saw."""
 
-    grown: Growing = field(default_factory=Growing)
+    view_builder: ViewBuilder = field(default_factory=ViewBuilder)
     proven: int = 0  # the last sequence that was on disk for certain
     tail: list[Record] = field(default_factory=list)  # what follows: whole, but perhaps only in memory
     segments: list[Segment] = field(default_factory=list)
@@ -72,7 +72,7 @@
     versions: dict[str, int] = field(default_factory=dict)  # formats, by file
 
     def take(self, record: Record) -> None:
-        self.grown.take(record.changes, record.sequence, record.time)
+        self.view_builder.take(record.changes, record.sequence, record.time)
         self.tail.append(record)
         self.prove(record.durable)
 
@@ -82,7 +82,7 @@
             self.tail = [r for r in self.tail if r.sequence > sequence]
 
 
-def segment_of(name: str) -> Segment | None:
+def parse_segment_name(name: str) -> Segment | None:
     parts = name.removesuffix(".seg").split("-")
     if not name.endswith(".seg") or len(parts) != 3 or parts[0] != "log":
         return None
@@ -92,7 +92,7 @@
         return None
 
 
-def snapshot_of(name: str) -> int | None:
+def parse_snapshot_name(name: str) -> int | None:
     if not (name.startswith("snap-") and name.endswith(".snap")):
         return None
     try:
@@ -101,10 +101,10 @@
         return None
 
 
-def read_snapshot(data: bytes) -> Growing:
+def read_snapshot(data: bytes) -> ViewBuilder:
     """Raises FormatError unless it is whole."""
     _, sequence, _ = read_header(data, SNAPSHOT)
-    grown, at, count = Growing(), HEADER.size, 0
+    grown, at, count = ViewBuilder(), HEADER.size, 0
     while True:
         found = record_at(data, at)
         if found is None:
@@ -121,10 +121,10 @@
     return grown
 
 
-def recover(files: Files) -> Found:
+def recover(files: Files) -> RecoveryResult:
     """Reads all that is there; raises OSError where that fails. Changes nothing."""
-    found, names = Found(), files.names()
-    covers = sorted((n for n in map(snapshot_of, names) if n is not None), reverse=True)
+    found, names = RecoveryResult(), files.names()
+    covers = sorted((n for n in map(parse_snapshot_name, names) if n is not None), reverse=True)
     for last in covers:
         name = SNAPSHOT_FORM.format(last)
         try:
@@ -135,28 +135,30 @@
             found.covered.append(f"{name}: {problem}")
             continue
         if not found.snapshots:
-            found.grown, found.proven = grown, last
+            found.view_builder, found.proven = grown, last
         found.snapshots.append(last)
-    segments = sorted((s for s in map(segment_of, names) if s), key=lambda s: s.generation)
+    segments = sorted((s for s in map(parse_segment_name, names) if s), key=lambda s: s.generation)
     # Half written ones count too: a name is never used twice, or its old bytes would come before the new.
-    begun = [segment_of(n.removesuffix(".new") + ".seg") for n in names if n.endswith(".new")]
+    begun = [parse_segment_name(n.removesuffix(".new") + ".seg") for n in names if n.endswith(".new")]
     found.generation = max((s.generation for s in [*segments, *begun] if s), default=0)
     for place, segment in enumerate(segments):
         limit = min((s.first for s in segments[place + 1 :]), default=None)
         replay(files.read(segment.name), segment, None if limit is None else limit - 1, found)
         if limit is not None and not found.damage:
-            found.prove(min(limit - 1, found.grown.sequence))  # it was on disk before the next was begun
+            found.prove(
+                min(limit - 1, found.view_builder.sequence)
+            )  # it was on disk before the next was begun
     return found
 
 
-def replay(data: bytes, segment: Segment, limit: int | None, found: Found) -> None:
+def replay(data: bytes, segment: Segment, limit: int | None, found: RecoveryResult) -> None:
     """Applies what a segment holds beyond the view; limit: its last sequence that counts, None for the
     newest segment."""
     name = segment.name
     if limit is not None and limit < segment.first:
         found.segments.append(segment)
         return  # superseded as a whole
-    if segment.first > found.grown.sequence + 1:
+    if segment.first > found.view_builder.sequence + 1:
         found.damage.append(f"{name}: what comes before record {segment.first} is missing")
         return
     try:
@@ -166,7 +168,7 @@
     except FormatError as problem:
         if limit is None and proof_after(data, 0, segment.first) is None:
             found.torn.append(f"{name}: {problem}")
-        elif limit is not None and limit <= found.grown.sequence:
+        elif limit is not None and limit <= found.view_builder.sequence:
             found.covered.append(f"{name}: {problem}")
         else:
             found.damage.append(f"{name}: {problem}")
@@ -180,10 +182,10 @@
             if limit is None and at == len(data):
                 return  # its end
             again = next_whole(data, at + 1, last) if at < len(data) else None
-            if again is not None and again[0].sequence - 1 <= found.grown.sequence:
+            if again is not None and again[0].sequence - 1 <= found.view_builder.sequence:
                 found.covered.append(f"{name}: broken at byte {at}")
                 whole = again  # what is broken, the snapshot has
-            elif limit is not None and limit <= found.grown.sequence:
+            elif limit is not None and limit <= found.view_builder.sequence:
                 found.covered.append(f"{name}: broken at byte {at}")
                 return
             elif limit is None and proof_after(data, at, last + 1) is None:
@@ -193,16 +195,16 @@
                 found.damage.append(f"{name}: record {last + 1} at byte {at} is lost")
                 return
         record, at = whole
-        if record.sequence > last + 1 and record.sequence - 1 > found.grown.sequence:
+        if record.sequence > last + 1 and record.sequence - 1 > found.view_builder.sequence:
             found.damage.append(f"{name}: record {last + 1} is missing before {record.sequence}")
             return
         last = record.sequence
         if limit is not None and last > limit:
             return
-        if last == found.grown.sequence + 1:
+        if last == found.view_builder.sequence + 1:
             found.take(record)
-        elif last > found.grown.sequence:
-            found.damage.append(f"{name}: record {found.grown.sequence + 1} is missing before {last}")
+        elif last > found.view_builder.sequence:
+            found.damage.append(f"{name}: record {found.view_builder.sequence + 1} is missing before {last}")
             return
 
 
@@ -223,11 +225,11 @@
     once more, to a segment of its own, before anything that follows it.
     """
 
-    def __init__(self, files: Files, found: Found) -> None:
+    def __init__(self, files: Files, found: RecoveryResult) -> None:
         if found.damage:
             raise DamageError("; ".join(found.damage))
         self.files = files
-        self.view = found.grown.view()
+        self.view = found.view_builder.build()
         self.snapshots, self.segments = sorted(found.snapshots), list(found.segments)
         self.generation = found.generation
         self.durable, self.tail = found.proven, list(found.tail)
@@ -243,12 +245,12 @@
         if self.snapshots:
             self.snapshot_size = files.size(SNAPSHOT_FORM.format(self.snapshots[-1]))
 
-    def settle(self) -> None:
+    def persist_recovered(self) -> None:
         """Puts what was found on disk for certain. Guards against what readers have seen vanishing again, and
         against a name lost by which a write that failed was superseded: it would come back. Raises
         JournalError."""
         try:
-            self.files.sync_names()
+            self.files.sync_directory()
         except OSError as problem:
             raise failure(problem, Trouble.SYNC) from None
         if self.tail:
@@ -266,7 +268,7 @@
             self.files.append(new, data)
             self.files.sync(new)
             self.files.rename(new, segment.name)
-            self.files.sync_names()
+            self.files.sync_directory()
         except OSError as problem:
             raise failure(problem, Trouble.SYNC) from None
         with self.guard:
@@ -325,7 +327,7 @@
             if again.sequence != view.sequence or sum(map(len, again.spaces.values())) != len(view):
                 raise JournalError(Trouble.WRITE, f"{new} was read back otherwise than written")
             self.files.rename(new, name)
-            self.files.sync_names()
+            self.files.sync_directory()
             yield written
             with self.guard:
                 if view.sequence not in self.snapshots:
@@ -357,11 +359,11 @@
         # What a crash left half written, under no name that counts.
         for name in self.files.names():
             if name.startswith("log-") and name.endswith(".new"):
-                left = segment_of(name.removesuffix(".new") + ".seg")
+                left = parse_segment_name(name.removesuffix(".new") + ".seg")
                 if left and left.generation < self.generation:
                     self.files.remove(name)
         if gone or old:
-            self.files.sync_names()
+            self.files.sync_directory()
 
 
 def parts_of(view: View) -> Iterator[bytes]:
--- a/heathford/store/store.py
+++ b/heathford/store/store.py
@@ -57,9 +57,9 @@
         self.journal, self.close_files, self.steady = journal, close, steady
         self.loop = asyncio.get_running_loop()
         self.health = Health()
-        self.durable = journal.view
-        self.whole: View | None = self.durable  # the head, if it has been asked for since the last write
-        self.clock = Clock(self.durable.time, wall(), steady())
+        self.durable_view = journal.view
+        self.whole: View | None = self.durable_view  # the head, if it has been asked for since the last write
+        self.clock = Clock(self.durable_view.time, wall(), steady())
         self.pending: deque[Batch] = deque()  # not yet on disk
         self.overlay: dict[tuple[str, bytes], tuple[Entry | None, int]] = {}  # theirs, and whose it is
         self.count = 0
@@ -95,7 +95,7 @@
             for what in found.covered:
                 log.warning("a broken part that is kept elsewhere", what=what)
             journal = Journal(files, found)
-            journal.settle()
+            journal.persist_recovered()
             return journal
 
         try:
@@ -115,7 +115,7 @@
     def get(self, space: str, key: bytes) -> bytes | None:
         found = self.overlay.get((space, key))
         if found is None:
-            return self.durable.get(space, key, self.now)
+            return self.durable_view.get(space, key, self.now)
         entry = found[0]
         return None if entry is None or is_over(entry, self.now) else entry[0]
 
@@ -123,7 +123,9 @@
     def head(self) -> View:
         if self.whole is None:
             changes = [change for batch in self.pending for change in batch.changes]
-            self.whole = self.durable.after(changes, self.durable.sequence + len(self.pending), self.now)
+            self.whole = self.durable_view.with_changes(
+                changes, self.durable_view.sequence + len(self.pending), self.now
+            )
         return self.whole
 
     def scan(self, space: str, begin: bytes = b"", prefix: bytes = b"") -> Iterator[tuple[bytes, bytes]]:
@@ -212,9 +214,9 @@
             log.warning("store is " + self.health.state.value, was=before.value, took=took)
         self.groups += 1
         self.written += len(group)
-        sequence = self.durable.sequence
+        sequence = self.durable_view.sequence
         changes = [change for batch in group for change in batch.changes]
-        self.durable = self.durable.after(changes, sequence + len(group), group[-1].at)
+        self.durable_view = self.durable_view.with_changes(changes, sequence + len(group), group[-1].at)
         for place, batch in enumerate(group):
             self.health.pending -= batch.size
             self.pending.popleft()
@@ -224,7 +226,7 @@
                     del self.overlay[name]
             if not batch.done.done():
                 batch.done.set_result(sequence + 1 + place)
-        self.whole = None if self.pending else self.durable
+        self.whole = None if self.pending else self.durable_view
         self.compact_if_due()
 
     def failed(self, group: list[Batch], problem: JournalError, epoch: int) -> None:
@@ -232,7 +234,7 @@
         self.health.failed(problem.trouble, problem.why, self.loop.time())
         log.error("store is " + self.health.state.value, why=str(problem))
         self.epoch = epoch
-        self.whole = self.durable
+        self.whole = self.durable_view
         self.pending.clear()
         self.overlay.clear()
         self.given_up(group, problem)
@@ -265,7 +267,7 @@
         if self.compacting and self.compacting.is_alive():
             return False
         self.compacting = threading.Thread(
-            target=self.write_snapshot, args=(self.durable,), name="store-snapshot", daemon=True
+            target=self.write_snapshot, args=(self.durable_view,), name="store-snapshot", daemon=True
         )
         self.compacting.start()
         return True
--- a/heathford/store/tools.py
+++ b/heathford/store/tools.py
@@ -5,10 +5,10 @@
 from typing import Any
 
 from heathford.store.files import Files, RealFiles
-from heathford.store.journal import Found, Journal, recover, segment_of, snapshot_of
+from heathford.store.journal import RecoveryResult, Journal, recover, parse_segment_name, parse_snapshot_name
 
 
-def opened(folder: Path) -> RealFiles:
+def open_store_files(folder: Path) -> RealFiles:
     """Raises LockedError, or OSError where there is no store."""
     if not folder.is_dir():
         raise FileNotFoundError(f"{folder} is no folder")
@@ -29,7 +29,7 @@
         show(f"broken, but kept elsewhere: {what}")
     for what in found.torn:
         show(f"torn end: {what}")
-    newest = found.grown
+    newest = found.view_builder
     show(
         f"{sum(map(len, newest.spaces.values()))} entries up to record {newest.sequence}; "
         f"{len(found.segments)} segments, {len(found.snapshots)} whole snapshots"
@@ -44,7 +44,7 @@
     return 1
 
 
-def cut_torn(files: Files, found: Found, show: Callable[[str], None]) -> None:
+def cut_torn(files: Files, found: RecoveryResult, show: Callable[[str], None]) -> None:
     for what in found.torn:
         name, _, where = what.partition(": from byte ")
         if where:
@@ -56,7 +56,7 @@
             name = what.partition(":")[0]
             files.remove(name)
             show(f"removed {name}, whose header was never whole")
-    files.sync_names()
+    files.sync_directory()
 
 
 def stat(files: Files) -> dict[str, Any]:
@@ -68,18 +68,18 @@
             "bytes": sum(len(k) + len(v) for k, (v, _) in space.items()),
             "lasting": sum(until is None for _, until in space.values()),
         }
-        for name, space in sorted(found.grown.spaces.items())
+        for name, space in sorted(found.view_builder.spaces.items())
     }
     data = sum(s["bytes"] for s in spaces.values())
     used = sum(files.size(n) for n in names)
     return {
-        "record": found.grown.sequence,
+        "record": found.view_builder.sequence,
         "spaces": spaces,
         "bytes of entries": data,
         "bytes on disk": used,
         "space amplification": round(used / data, 2) if data else None,
-        "segments": sorted(n for n in names if segment_of(n)),
-        "snapshots": sorted(n for n in names if snapshot_of(n) is not None),
+        "segments": sorted(n for n in names if parse_segment_name(n)),
+        "snapshots": sorted(n for n in names if parse_snapshot_name(n) is not None),
         "formats": found.versions,
         "damage": found.damage,
         "torn": found.torn,
@@ -89,7 +89,7 @@
 
 def dump(files: Files, space: str) -> Iterator[dict[str, Any]]:
     """Entries in order, texts where they are texts."""
-    for name, key, (value, until) in sorted(recover(files).grown.view().entries()):
+    for name, key, (value, until) in sorted(recover(files).view_builder.build().entries()):
         if space in ("", name):
             yield {"space": name, "key": readable(key), "value": readable(value), "until": until}
 
@@ -104,11 +104,11 @@
 def compact(files: Files) -> tuple[int, int]:
     """Two snapshots, so that all log before them may go; bytes before and after. Raises DamageError."""
     journal = Journal(files, recover(files))
-    journal.settle()
+    journal.persist_recovered()
     before = sum(files.size(n) for n in files.names())
     journal.write([((), journal.time)])
     for _ in range(2):
-        view = journal.view.after((), journal.durable, journal.time)
+        view = journal.view.with_changes((), journal.durable, journal.time)
         for _ in journal.snapshot(view):
             pass
         journal.write([((), journal.time)])
--- a/heathford/store/views.py
+++ b/heathford/store/views.py
@@ -12,7 +12,7 @@
 EMPTY: PMap[bytes, Entry] = pmap()
 
 
-class Growing:
+class ViewBuilder:
     """A view in the making, at recovery: plain dicts, made persistent once all is read."""
 
     def __init__(self) -> None:
@@ -28,7 +28,7 @@
             else:
                 space[change.key] = (change.value, change.until)
 
-    def view(self) -> "View":
+    def build(self) -> "View":
         return View(
             pmap({name: pmap(space) for name, space in self.spaces.items() if space}),
             self.sequence,
@@ -48,7 +48,7 @@
         self.sequence, self.time = sequence, time
         self.keys: dict[str, list[bytes]] = {}  # in order, of spaces that were scanned
 
-    def after(self, changes: Iterable[Change], sequence: int, time: float) -> "View":
+    def with_changes(self, changes: Iterable[Change], sequence: int, time: float) -> "View":
         edited: dict[str, Any] = {}
         for change in changes:
             if change.space not in edited:
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -16,12 +16,12 @@
 from hypothesis import strategies as st
 
 from heathford.batch.api import MEMBER, routes
-from heathford.batch.life import POISON, TRIES, Again, Batch, Status, StatusError, Tries
+from heathford.batch.state import POISON, TRIES, Again, Batch, Status, StatusError, Tries
 from heathford.batch.lines import Checked, Cutter
 from heathford.batch.multipart import Multipart, MultipartError, What, boundary_of
 from heathford.batch.runner import Runner
 from heathford.batch.scheduling import BACK, START, Fair, Limit, Queue
-from heathford.batch.shelf import Answers, Shelf
+from heathford.batch.file_storage import Answers, FileStorage
 from heathford.client import BadRequest, Batches, BlockingBatches, NoFront
 from heathford.front.memory import Memory
 from heathford.fuzz.sessions import InProcessFront
@@ -263,8 +263,8 @@
     served.manager.memory = memory
     served.manager.identities.max_requests = 100_000
     assert memory.store
-    shelf = Shelf(folder / "files", memory.store, 1 << 20, 4 << 20)
-    runner = Runner(served.manager, memory.store, shelf, asyncio.get_running_loop().time)
+    file_storage = FileStorage(folder / "files", memory.store, 1 << 20, 4 << 20)
+    runner = Runner(served.manager, memory.store, file_storage, asyncio.get_running_loop().time)
     served.server.request_callback.add_handlers(".*", routes(runner, served.manager.catalog.members))  # type: ignore
     runner.start()
     return Start(served, memory, runner)
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -136,7 +136,7 @@
         def take(*args: Any, **more: Any) -> Any:
             seen.append(
                 json.loads(
-                    store.durable.get(stored_answers.SPACE, stored_answers.store_key(0, "k"), store.now)
+                    store.durable_view.get(stored_answers.SPACE, stored_answers.store_key(0, "k"), store.now)
                     or b"{}"
                 )
             )
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -45,7 +45,7 @@
 
 def opened(disk: Disk) -> Journal:
     journal = Journal(disk, recover(disk))
-    journal.settle()
+    journal.persist_recovered()
     return journal
 
 
@@ -93,7 +93,7 @@
         self.sure, self.maybe = after, []
         self.acknowledged += 1
         for changes in group:
-            self.view = self.view.after(changes, self.view.sequence + 1, float(self.acknowledged))
+            self.view = self.view.with_changes(changes, self.view.sequence + 1, float(self.acknowledged))
 
     def step(self) -> None:
         """One step of a snapshot."""
@@ -200,7 +200,7 @@
 
 
 def names_unsynced(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Disk, "sync_names", lambda self: None)
+    monkeypatch.setattr(Disk, "sync_directory", lambda self: None)
 
 
 def swapped_early(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -216,7 +216,9 @@
                 spaces: dict[str, Any] = {}
                 for (space, key), value in self.maybe[-1].items():
                     spaces.setdefault(space, []).append(Change(space, key, value))
-                self.view = View().after([c for part in spaces.values() for c in part], view.sequence, 0.0)
+                self.view = View().with_changes(
+                    [c for part in spaces.values() for c in part], view.sequence, 0.0
+                )
                 self.maybe = []
 
     monkeypatch.setattr(Modelled, "write", write)
@@ -300,11 +302,11 @@
             encode_record(Record(n, n - 1, 0.0, (Change("s", b"%d" % n, b"old"),)), BEFORE) for n in (1, 2, 3)
         ),
     )
-    assert len(recover(disk).grown.view()) == 3
+    assert len(recover(disk).view_builder.build()) == 3
     with pytest.raises(FormatError):
         encode_changes([Change("s", b"k", b"v", 1.0)], BEFORE)
     compact(disk)
-    assert set(stat(disk)["formats"].values()) == {2} and len(recover(disk).grown.view()) == 3
+    assert set(stat(disk)["formats"].values()) == {2} and len(recover(disk).view_builder.build()) == 3
     with pytest.raises(FormatError, match="read are 2 and 1"):
         read_header(header(SNAPSHOT, 1, version=9), SNAPSHOT)
 
