--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -133,7 +133,7 @@
         self.close()
         if shared and shared.leave(self) and not shared.over:
             shared.abandon()
-            manager.identities.remove(self.arguments["member"], self.arguments["mark"])
+            manager.idempotency_table.remove(self.arguments["member"], self.arguments["mark"])
 
     session.SessionRequest.leave = leave  # type: ignore[method-assign]
 
--- a/heathford/batch/__init__.py
+++ b/heathford/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Work by the thousand that nobody waits for at a screen: files and batches, by the published API."""
+"""Batch processing of requests that no user waits for: the published files and batches API."""
--- a/heathford/batch/file_storage.py
+++ b/heathford/batch/file_storage.py
@@ -1,4 +1,4 @@
-"""Files on disk beside the store: uploaded ones, and answers that are only whole at their end."""
+"""Files of the files API on disk: uploads, and the result files of batches."""
 
 import contextlib
 import os
@@ -12,45 +12,52 @@
 from heathford.store.format import Change
 from heathford.store.store import Store
 
-SPACE = "files"
-CHUNK = 256 << 10  # bytes read or sent at once
+SPACE = "files"  # namespace in the store
+CHUNK_BYTES = 256 << 10  # read and sent at once
 
 
-class FullError(Exception):
-    """There is no room for it; the text says where the bound is."""
+class StorageLimitError(Exception):
+    """A file exceeds a size limit; the message names the limit."""
 
 
 def new_id(kind: str) -> str:
-    """Not to be guessed: a member that knows another's must still be refused, but need not try."""
+    """Return a random id that can't be guessed; access is checked by tenant all the same."""
     return f"{kind}-{secrets.token_hex(12)}"
 
 
 class FileStorage:
-    """most: bytes of one file; most_all: of all. A file is listed once its record is on disk; what has no
-    record is removed at the start."""
-
-    def __init__(self, folder: Path, store: Store, most: int, most_all: int) -> None:
-        self.folder, self.store, self.most, self.most_all = folder, store, most, most_all
+    """Stores the files of all tenants in one directory, and their entries in the store.
+
+    A file is listed once its entry is on disk. Files without an entry are removed at the start.
+    """
+
+    def __init__(self, folder: Path, store: Store, max_file_bytes: int, max_total_bytes: int) -> None:
+        self.folder, self.store, self.max_file_bytes, self.max_total_bytes = (
+            folder,
+            store,
+            max_file_bytes,
+            max_total_bytes,
+        )
         folder.mkdir(parents=True, exist_ok=True)
-        self.listed = {key.decode(): orjson.loads(value) for key, value in store.scan(SPACE)}
-        self.used = sum(entry["bytes"] for entry in self.listed.values())
-        self.in_use: dict[str, int] = {}  # by batches, readers
+        self.entries = {key.decode(): orjson.loads(value) for key, value in store.scan(SPACE)}
+        self.used_bytes = sum(entry["bytes"] for entry in self.entries.values())
+        self.use_counts: dict[str, int] = {}  # batches and downloads that use a file, by its name
         for path in folder.iterdir():
-            if path.suffix != ".part" and path.name not in self.listed:
+            if path.suffix != ".part" and path.name not in self.entries:
                 path.unlink()
 
     def path(self, name: str) -> Path:
         return self.folder / name
 
-    def get(self, name: str, member: int) -> dict[str, Any] | None:
-        """A member sees only its own."""
-        entry = self.listed.get(name)
-        return entry if entry and entry["member"] == member else None
+    def get(self, name: str, tenant: int) -> dict[str, Any] | None:
+        """Return the entry of a file; None if there is none or if it belongs to another tenant."""
+        entry = self.entries.get(name)
+        return entry if entry and entry["member"] == tenant else None
 
-    def begin(self) -> "Incoming":
-        return Incoming(self, new_id("file"))
+    def start_upload(self) -> "Upload":
+        return Upload(self, new_id("file"))
 
-    def entry(self, name: str, member: int, filename: str, purpose: str, size: int) -> dict[str, Any]:
+    def make_entry(self, name: str, tenant: int, filename: str, purpose: str, size: int) -> dict[str, Any]:
         return {
             "id": name,
             "object": "file",
@@ -58,105 +65,116 @@
             "created_at": int(self.store.now),
             "filename": filename,
             "purpose": purpose,
-            "member": member,
+            "member": tenant,
         }
 
     async def record(self, entry: Mapping[str, Any]) -> None:
-        """Raises StoreError: then it isn't there."""
+        """Write the entry to the store, then list the file; raises StoreError if the entry is not stored."""
         name = entry["id"]
         await self.store.write([self.change(entry)])
-        self.took(name, dict(entry))
+        self.add_entry(name, dict(entry))
 
     def change(self, entry: Mapping[str, Any]) -> Change:
+        """Return the change that writes an entry to the store."""
         return Change(SPACE, entry["id"].encode(), orjson.dumps(dict(entry)))
 
-    def took(self, name: str, entry: dict[str, Any]) -> None:
-        self.listed[name] = entry
-        self.used += entry["bytes"]
+    def add_entry(self, name: str, entry: dict[str, Any]) -> None:
+        """List a file."""
+        self.entries[name] = entry
+        self.used_bytes += entry["bytes"]
 
     async def remove(self, name: str) -> None:
-        """Its record first: a crash between leaves bytes that the next start removes."""
+        """Remove the entry, then the file, which after a crash in between is removed at the next start."""
         await self.store.delete(SPACE, name.encode())
-        entry = self.listed.pop(name)
-        self.used -= entry["bytes"]
+        entry = self.entries.pop(name)
+        self.used_bytes -= entry["bytes"]
         self.path(name).unlink(missing_ok=True)
 
     def hold(self, name: str) -> None:
-        self.in_use[name] = self.in_use.get(name, 0) + 1
+        """Protect a file from deletion, until as many calls of `release`."""
+        self.use_counts[name] = self.use_counts.get(name, 0) + 1
 
-    def let_go(self, name: str) -> None:
-        self.in_use[name] -= 1
-        if not self.in_use[name]:
-            del self.in_use[name]
+    def release(self, name: str) -> None:
+        self.use_counts[name] -= 1
+        if not self.use_counts[name]:
+            del self.use_counts[name]
 
     def chunks(self, name: str) -> Iterator[bytes]:
         with self.path(name).open("rb") as file:
-            while data := file.read(CHUNK):
+            while data := file.read(CHUNK_BYTES):
                 yield data
 
 
-class Incoming:
-    """A file on its way in; it is nothing until it is recorded."""
+class Upload:
+    """A file that is being received; it is not listed until its entry is recorded."""
 
     def __init__(self, file_storage: FileStorage, name: str) -> None:
         self.file_storage, self.name, self.size = file_storage, name, 0
         self.file = file_storage.path(name + ".part").open("wb")
 
     def write(self, data: bytes) -> None:
-        """Raises FullError or OSError."""
+        """Append data; raises StorageLimitError or OSError."""
         self.size += len(data)
-        if self.size > self.file_storage.most:
-            raise FullError(f"a file of more than {self.file_storage.most} bytes")
-        if self.file_storage.used + self.size > self.file_storage.most_all:
-            raise FullError(f"all files together would pass {self.file_storage.most_all} bytes")
+        if self.size > self.file_storage.max_file_bytes:
+            raise StorageLimitError(f"a file of more than {self.file_storage.max_file_bytes} bytes")
+        if self.file_storage.used_bytes + self.size > self.file_storage.max_total_bytes:
+            raise StorageLimitError(
+                f"all files together would pass {self.file_storage.max_total_bytes} bytes"
+            )
         self.file.write(data)
 
-    def ends(self) -> None:
-        """On disk, under its name; blocks for a sync: call it off the loop."""
+    def finish(self) -> None:
+        """Sync the file and give it its final name; blocks, so it must not run in the event loop."""
         self.file.flush()
         os.fdatasync(self.file.fileno())
         self.file.close()
         self.file_storage.path(self.name + ".part").rename(self.file_storage.path(self.name))
 
-    def drop(self) -> None:
+    def discard(self) -> None:
         self.file.close()
         self.file_storage.path(self.name + ".part").unlink(missing_ok=True)
         self.file_storage.path(self.name).unlink(missing_ok=True)
 
 
-class Answers:
-    """The output and error file of one batch while they grow. What counts is what the batch's record says:
-    bytes beyond were written and not recorded, and are cut off when it goes on after a restart."""
+class ResultFiles:
+    """The growing output and error files of a batch.
+
+    The batch record says how many bytes of each are valid. Bytes beyond these were written but not recorded,
+    and are cut off when the batch resumes after a restart.
+    """
 
-    def __init__(self, folder: Path, batch: str, counts: tuple[int, int]) -> None:
-        self.paths = [folder / f"{batch}-{kind}.part" for kind in ("output", "error")]
+    def __init__(self, folder: Path, batch_id: str, valid_sizes: tuple[int, int]) -> None:
+        self.paths = [folder / f"{batch_id}-{kind}.part" for kind in ("output", "error")]
         self.files = [open(path, "ab") for path in self.paths]  # noqa: SIM115 - open as long as the batch
-        self.sizes = list(counts)
-        for file, size in zip(self.files, counts, strict=True):
+        self.sizes = list(valid_sizes)
+        for file, size in zip(self.files, valid_sizes, strict=True):
             file.truncate(size)
 
     def write(self, lines: tuple[list[bytes], list[bytes]]) -> tuple[int, int]:
-        """Appends and syncs; the bytes that count once recorded. Raises OSError: nothing more counts."""
-        for place, (file, new) in enumerate(zip(self.files, lines, strict=True)):
-            if new:
-                data = b"".join(new)
+        """Append lines to the output and the error file and sync; return the valid bytes of each.
+
+        After an OSError the files are cut back, and nothing that was to be written counts.
+        """
+        for index, (file, new_lines) in enumerate(zip(self.files, lines, strict=True)):
+            if new_lines:
+                data = b"".join(new_lines)
                 try:
                     file.write(data)
                     file.flush()
                     os.fdatasync(file.fileno())
                 except OSError:
-                    self.again(place)
+                    self.reopen(index)
                     raise
-                self.sizes[place] += len(data)
+                self.sizes[index] += len(data)
         return self.sizes[0], self.sizes[1]
 
-    def again(self, place: int) -> None:
-        """After a failure: the file is opened anew and cut where it counts, so that no half line stays."""
-        path = self.paths[place]
-        with contextlib.suppress(OSError):  # what it held back is what failed
-            self.files[place].close()
-        os.truncate(path, self.sizes[place])
-        self.files[place] = open(path, "ab")  # noqa: SIM115
+    def reopen(self, index: int) -> None:
+        """Reopen a file after a failed write, cut to its valid bytes, so that no partial line remains."""
+        path = self.paths[index]
+        with contextlib.suppress(OSError):  # closing flushes the buffered data, which may fail again
+            self.files[index].close()
+        os.truncate(path, self.sizes[index])
+        self.files[index] = open(path, "ab")  # noqa: SIM115
 
     def close(self) -> None:
         for file in self.files:
--- a/heathford/batch/lines.py
+++ b/heathford/batch/lines.py
@@ -1,4 +1,4 @@
-"""The lines of a batch's file: what each asks for, and what is wrong with it; no I/O."""
+"""Parsing and validation of the lines of a batch's input file; no I/O."""
 
 from collections.abc import Iterator, Mapping
 from dataclasses import dataclass
@@ -9,15 +9,15 @@
 from heathford.sessions.workload_catalog import WorkloadCatalog, ParamsError
 
 ENDPOINT = "/v1/completions"
-LONGEST_LINE = 4 << 20  # bytes: as long as the longest prompt that a workload may have, and more
-MOST_LINES = 100_000  # of one batch: its marks fit into some KB, and it ends within a day on a small fleet
-MOST_MISTAKES = 100  # told of one file: more help nobody
-CUSTOM_ID = 256  # characters
+MAX_LINE_BYTES = 4 << 20  # more than the longest prompt that a workload allows
+MAX_LINES = 100_000  # of one batch: its bitmap takes a few KB, and a small fleet finishes it within a day
+MAX_LISTED_MISTAKES = 100  # of one file; further ones are only counted
+MAX_CUSTOM_ID_CHARS = 256
 
 
 @dataclass(frozen=True)
 class Mistake:
-    """As the published API tells it: line is None where it is about the whole file."""
+    """An error in an input file, as the published API has it; `line` is None for the whole file."""
 
     code: str
     message: str
@@ -29,118 +29,128 @@
 
 @dataclass(frozen=True)
 class Line:
+    """A valid line of an input file."""
+
     number: int  # from 1
     custom_id: str
-    asked: Mapping[str, Any]  # as Offers.read gives it
+    request: Mapping[str, Any]  # the validated request
 
 
 class LineError(Exception):
+    """A line is invalid; `code` is the error code of the published API."""
+
     def __init__(self, code: str, message: str) -> None:
         super().__init__(message)
         self.code = code
 
 
-def read_line(data: bytes, number: int, catalog: WorkloadCatalog) -> Line:
-    """Raises LineError."""
-    if len(data) > LONGEST_LINE:
-        raise LineError("line_too_long", f"{len(data)} bytes; allowed are {LONGEST_LINE}")
+def parse_line(data: bytes, number: int, catalog: WorkloadCatalog) -> Line:
+    """Parse and validate a line; raises LineError."""
+    if len(data) > MAX_LINE_BYTES:
+        raise LineError("line_too_long", f"{len(data)} bytes; allowed are {MAX_LINE_BYTES}")
     try:
-        said = orjson.loads(data)
+        fields = orjson.loads(data)
     except orjson.JSONDecodeError as problem:
         raise LineError("invalid_json_line", f"no JSON in UTF-8: {problem}") from None
-    if not isinstance(said, dict):
+    if not isinstance(fields, dict):
         raise LineError("invalid_json_line", "no JSON object")
-    custom_id = said.get("custom_id")
-    if not isinstance(custom_id, str) or not custom_id or len(custom_id) > CUSTOM_ID:
-        raise LineError("invalid_custom_id", f"custom_id: allowed is a text of 1 to {CUSTOM_ID} characters")
-    if said.get("method") != "POST" or said.get("url") != ENDPOINT:
+    custom_id = fields.get("custom_id")
+    if not isinstance(custom_id, str) or not custom_id or len(custom_id) > MAX_CUSTOM_ID_CHARS:
+        raise LineError(
+            "invalid_custom_id", f"custom_id: allowed is a text of 1 to {MAX_CUSTOM_ID_CHARS} characters"
+        )
+    if fields.get("method") != "POST" or fields.get("url") != ENDPOINT:
         raise LineError("invalid_url", f"method and url: allowed are POST and {ENDPOINT}")
-    if not isinstance(said.get("body"), dict):
+    if not isinstance(fields.get("body"), dict):
         raise LineError("invalid_body", "body: allowed is an object")
-    if said["body"].get("stream"):
+    if fields["body"].get("stream"):
         raise LineError("invalid_body", "stream: allowed is false in a batch")
     try:
-        return Line(number, custom_id, catalog.parse_request(said["body"]))
+        return Line(number, custom_id, catalog.parse_request(fields["body"]))
     except ParamsError as problem:
         raise LineError("invalid_body", str(problem)) from None
 
 
-class Cutter:
-    """Cuts a stream of bytes into lines, each with where it begins; memory is bounded by one line."""
+class LineSplitter:
+    """Splits a stream of bytes into lines with their offsets; memory is bounded by one line."""
 
     def __init__(self) -> None:
-        self.rest = bytearray()
-        self.at = 0  # of the rest's beginning
-        self.number = 0
-        self.lost = 0  # bytes passed over of a line that is too long
+        self.buffer = bytearray()  # the start of an incomplete line
+        self.offset = 0  # of the buffer in the stream
+        self.number = 0  # of the last line
+        self.dropped_bytes = 0  # of the current line, if it is too long
 
     def feed(self, data: bytes) -> Iterator[tuple[int, int, int, bytes]]:
-        """Number, place, size and content of each line; of one too long only what was kept, cut."""
-        self.rest += data
-        while (end := self.rest.find(b"\n")) >= 0:
-            yield from self.one(bytes(self.rest[:end]), end + 1)
-        extra = len(self.rest) - (LONGEST_LINE + 1)
+        """Yield number, offset, size and content of each complete line; the content of a long one is cut."""
+        self.buffer += data
+        while (end := self.buffer.find(b"\n")) >= 0:
+            yield from self.emit(bytes(self.buffer[:end]), end + 1)
+        extra = len(self.buffer) - (MAX_LINE_BYTES + 1)
         if extra > 0:
-            del self.rest[-extra:]
-            self.lost += extra
+            del self.buffer[-extra:]
+            self.dropped_bytes += extra
 
     def end(self) -> Iterator[tuple[int, int, int, bytes]]:
-        """The last line, where no newline ends it."""
-        if self.rest:
-            yield from self.one(bytes(self.rest), len(self.rest))
-
-    def one(self, line: bytes, size: int) -> Iterator[tuple[int, int, int, bytes]]:
-        lost, self.lost = self.lost, 0
-        place = self.at
-        self.at += size + lost
-        del self.rest[:size]
+        """Yield the last line if no newline ends it."""
+        if self.buffer:
+            yield from self.emit(bytes(self.buffer), len(self.buffer))
+
+    def emit(self, line: bytes, size: int) -> Iterator[tuple[int, int, int, bytes]]:
+        dropped_bytes, self.dropped_bytes = self.dropped_bytes, 0
+        line_offset = self.offset
+        self.offset += size + dropped_bytes
+        del self.buffer[:size]
         self.number += 1
         if line.strip():
-            yield self.number, place, size + lost, line
+            yield self.number, line_offset, size + dropped_bytes, line
 
 
-class Checked:
-    """What a file comes to, line by line: where its good lines are, and what is wrong with the others."""
+class InputFileCheck:
+    """Collects the locations of an input file's valid lines, and the errors of the others."""
 
     def __init__(self, catalog: WorkloadCatalog) -> None:
         self.catalog = catalog
-        self.places: list[tuple[int, int, int]] = []  # number, place, size
-        self.order: list[tuple[str, int]] = []  # by what lines are put together, and their index
+        self.locations: list[tuple[int, int, int]] = []  # number, offset, size of each valid line
+        self.submission_keys: list[tuple[str, int]] = []  # sort key and index of each valid line
         self.mistakes: list[Mistake] = []
-        self.wrong = 0
-        self.seen: dict[str, int] = {}
+        self.mistake_count = 0
+        self.line_numbers: dict[str, int] = {}  # by custom_id
         self.members: dict[int, None] = {}
 
-    def take(self, number: int, place: int, size: int, data: bytes) -> None:
+    def add_line(self, number: int, offset: int, size: int, data: bytes) -> None:
+        """Validate a line, as LineSplitter yields it."""
         try:
-            line = read_line(
-                data if size <= LONGEST_LINE else data + b" " * (LONGEST_LINE + 1), number, self.catalog
+            line = parse_line(
+                data if size <= MAX_LINE_BYTES else data + b" " * (MAX_LINE_BYTES + 1), number, self.catalog
             )
-            if line.custom_id in self.seen:
-                first = self.seen[line.custom_id]
+            if line.custom_id in self.line_numbers:
+                first = self.line_numbers[line.custom_id]
                 raise LineError(
                     "duplicate_custom_id", f"custom_id {line.custom_id!r} stands already at line {first}"
                 )
         except LineError as problem:
-            self.mistake(problem.code, str(problem), number)
+            self.add_mistake(problem.code, str(problem), number)
             return
-        self.seen[line.custom_id] = number
-        # Lines with one beginning go together: what an engine keeps of it is then of use.
-        self.order.append((f"{line.asked['workload']}:{line.asked['shared']}", len(self.places)))
-        self.places.append((number, place, size))
-
-    def mistake(self, code: str, message: str, number: int | None) -> None:
-        self.wrong += 1
-        if len(self.mistakes) < MOST_MISTAKES:
+        self.line_numbers[line.custom_id] = number
+        # Lines with the same prompt prefix are submitted together, to use the engines' prefix caches.
+        self.submission_keys.append(
+            (f"{line.request['workload']}:{line.request['shared']}", len(self.locations))
+        )
+        self.locations.append((number, offset, size))
+
+    def add_mistake(self, code: str, message: str, number: int | None) -> None:
+        self.mistake_count += 1
+        if len(self.mistakes) < MAX_LISTED_MISTAKES:
             self.mistakes.append(Mistake(code, message, number))
 
-    def ends(self) -> None:
-        if not self.places and not self.wrong:
-            self.mistake("empty_file", "no line asks for anything", None)
-        if len(self.places) > MOST_LINES:
-            self.mistake("too_many_lines", f"{len(self.places)} lines; allowed are {MOST_LINES}", None)
+    def finish(self) -> None:
+        """Check the file as a whole, after its last line."""
+        if not self.locations and not self.mistake_count:
+            self.add_mistake("empty_file", "no line asks for anything", None)
+        if len(self.locations) > MAX_LINES:
+            self.add_mistake("too_many_lines", f"{len(self.locations)} lines; allowed are {MAX_LINES}", None)
 
     @property
-    def sequence(self) -> list[int]:
-        """Indexes of the good lines, in the order in which they are asked."""
-        return [index for _, index in sorted(self.order)]
+    def submission_order(self) -> list[int]:
+        """Indexes of the valid lines, in the order in which they are submitted."""
+        return [index for _, index in sorted(self.submission_keys)]
--- a/heathford/batch/runner.py
+++ b/heathford/batch/runner.py
@@ -1,4 +1,4 @@
-"""Carries batches: checks their files, asks their lines as ordinary completions, writes what comes."""
+"""Runs batches: checks their input files, submits their lines as ordinary requests, writes the results."""
 
 import asyncio
 import contextlib
@@ -12,79 +12,81 @@
 import orjson
 import structlog
 
-from heathford.batch.state import OVER, Again, Batch, Status, Tries
-from heathford.batch.lines import Checked, Cutter, Line, LineError, read_line
-from heathford.batch.scheduling import Fair, Limit, Queue
-from heathford.batch.file_storage import Answers, FileStorage, new_id
+from heathford.batch.state import FINAL_STATUSES, RetryDecision, Batch, Status, LineRetries
+from heathford.batch.lines import InputFileCheck, LineSplitter, Line, LineError, parse_line
+from heathford.batch.scheduling import FairScheduler, ConcurrencyLimit, LineQueue
+from heathford.batch.file_storage import ResultFiles, FileStorage, new_id
 from heathford.core.tasks import Tasks
 from heathford.sessions.guidance import Retry
 from heathford.sessions.session import SessionManager, Session
 from heathford.store.format import Change
 from heathford.store.store import Store, StoreError
 
-SPACE = "batches"
-GROUP = 0.05  # s in which answers are gathered for one write: a sync each would slow a batch down
-TICK = 0.05  # s between two looks at room and at time
-DISK_AGAIN = 2.0  # s until answers are written again after the disk refused them
+SPACE = "batches"  # namespace in the store
+RESULT_WRITE_DELAY_SECONDS = 0.05  # results are gathered for one write: a sync for each would be too slow
+SCHEDULE_INTERVAL_SECONDS = 0.05  # between two checks of the concurrency limit and of the windows
+DISK_RETRY_SECONDS = 2.0  # until a failed write is repeated
 
 log = structlog.get_logger()
 
 
 @dataclass
-class Running:
-    """A batch that is not over, as this start of the front has it."""
+class ActiveBatch:
+    """A batch that has not ended, with the state that only this process has of it."""
 
     batch: Batch
-    places: list[tuple[int, int, int]] = field(default_factory=list)  # number, place, size of each line
-    tries: dict[int, Tries] = field(default_factory=dict)
-    out: dict[int, "Asked"] = field(default_factory=dict)
-    answers: Answers | None = None
-    ready: tuple[list[bytes], list[bytes]] = field(default_factory=lambda: ([], []))
-    marked: list[tuple[int, bool]] = field(default_factory=list)  # of what is ready
-    settled: dict[int, None] = field(default_factory=dict)  # whose answer is ready or written
-    ending: Status | None = None
+    locations: list[tuple[int, int, int]] = field(default_factory=list)  # number, offset, size of each line
+    retries: dict[int, LineRetries] = field(default_factory=dict)  # by line index
+    in_flight: dict[int, "LineRequest"] = field(default_factory=dict)  # by line index
+    result_files: ResultFiles | None = None
+    # Lines for the output file and for the error file that are not written yet.
+    unwritten_lines: tuple[list[bytes], list[bytes]] = field(default_factory=lambda: ([], []))
+    # Their line indexes, and whether each succeeded.
+    unwritten_marks: list[tuple[int, bool]] = field(default_factory=list)
+    answered: dict[int, None] = field(default_factory=dict)  # indexes of lines with a result, written or not
+    final_status: Status | None = None  # set when the batch starts to end
 
 
-class Asked:
-    """One line that is out; the voice of a session of its own."""
+class LineRequest:
+    """One line in flight, submitted through a session of its own, whose results it receives."""
 
     slow = False
 
-    def __init__(self, runner: "Runner", running: Running, index: int, line: Line) -> None:
-        self.runner, self.running, self.index, self.line = runner, running, index, line
-        self.sent = runner.now()
-        self.first: float | None = None
-        self.over = False
+    def __init__(self, runner: "Runner", active: ActiveBatch, index: int, line: Line) -> None:
+        self.runner, self.active, self.index, self.line = runner, active, index, line
+        self.sent_at = runner.now()
+        self.first_token_time: float | None = None
+        self.ended = False
         self.session = Session(runner.manager, self, runner.manager.next_session_name())
         self.session.interactive = False
 
     def resume_reading(self) -> None:
-        """One completion a session."""
+        """Do nothing: the session has only this one request."""
 
-    def chunk(self, key: Any, completion: str, text: str) -> None:
-        if self.first is None:
-            self.first = self.runner.now() - self.sent
-            self.runner.first_token(self)
+    def chunk(self, key: Any, request_id: str, text: str) -> None:
+        if self.first_token_time is None:
+            self.first_token_time = self.runner.now() - self.sent_at
+            self.runner.record_first_token(self)
 
-    def finished(self, key: Any, completion: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
+    def finished(self, key: Any, request_id: str, reason: str, usage: Mapping[str, Any], text: str) -> None:
         tokens = usage.get("completion_tokens")
-        if self.first is not None and isinstance(tokens, int) and tokens > 1:
-            wanted = self.runner.manager.core.workloads[self.line.asked["workload"]].token_target
-            took = self.runner.now() - self.sent - self.first
-            self.runner.limit.line_streamed(took / (tokens - 1) / wanted, self.runner.now())
-        self.runner.ends(
+        if self.first_token_time is not None and isinstance(tokens, int) and tokens > 1:
+            target = self.runner.manager.core.workloads[self.line.request["workload"]].token_target
+            duration = self.runner.now() - self.sent_at - self.first_token_time
+            self.runner.limit.line_streamed(duration / (tokens - 1) / target, self.runner.now())
+        self.runner.finish_line(
             self,
             True,
             {
-                "id": completion,
+                "id": request_id,
                 "custom_id": self.line.custom_id,
                 "response": {
                     "status_code": 200,
-                    "request_id": completion,
+                    "request_id": request_id,
                     "body": {
-                        "id": completion,
+                        "id": request_id,
                         "object": "text_completion",
-                        "model": self.line.asked["body"]["model"],
+                        "model": self.line.request["body"]["model"],
                         "choices": [{"index": 0, "text": text, "finish_reason": reason}],
                         "usage": dict(usage),
                     },
@@ -93,34 +95,35 @@
             },
         )
 
-    def rate_limited(self, key: Any, completion: str, retry_after: float) -> None:
-        what, wait = self.tries.after_refusal()
-        if what is Again.LATER:
-            self.runner.later(self, max(wait, retry_after), slow=True)
+    def rate_limited(self, key: Any, request_id: str, retry_after: float) -> None:
+        decision, delay = self.retries.after_rate_limit()
+        if decision is RetryDecision.LATER:
+            self.runner.retry_later(self, max(delay, retry_after), slow=True)
         else:
-            self.fail(completion, "rate_limited", "rate-limited too often")
+            self.fail(request_id, "rate_limited", "rate-limited too often")
 
-    def aborted(self, key: Any, completion: str, why: str, retry: Retry) -> None:
-        what, wait = self.tries.after_abort(retry is not Retry.NEVER)
-        if what is Again.LATER:
-            self.runner.later(self, wait, slow=False)
+    def aborted(self, key: Any, request_id: str, why: str, retry: Retry) -> None:
+        decision, delay = self.retries.after_abort(retry is not Retry.NEVER)
+        if decision is RetryDecision.LATER:
+            self.runner.retry_later(self, delay, slow=False)
         else:
-            self.fail(completion, "aborted", why)
+            self.fail(request_id, "aborted", why)
 
     def conflict(self, key: Any) -> None:
         self.fail("", "conflict", "the line's key stands for another completion")
 
     @property
-    def tries(self) -> Tries:
-        return self.running.tries.setdefault(self.index, Tries())
+    def retries(self) -> LineRetries:
+        return self.active.retries.setdefault(self.index, LineRetries())
 
-    def fail(self, completion: str, code: str, message: str) -> None:
-        self.runner.ends(self, False, failed_line(self.line.custom_id, completion, code, message))
+    def fail(self, request_id: str, code: str, message: str) -> None:
+        self.runner.finish_line(self, False, failed_line(self.line.custom_id, request_id, code, message))
 
 
-def failed_line(custom_id: str | None, completion: str, code: str, message: str) -> dict[str, Any]:
+def failed_line(custom_id: str | None, request_id: str, code: str, message: str) -> dict[str, Any]:
+    """Return a line of the error file, as the published API defines it."""
     return {
-        "id": completion,
+        "id": request_id,
         "custom_id": custom_id,
         "response": None,
         "error": {"code": code, "message": message},
@@ -128,7 +131,10 @@
 
 
 class Runner:
-    """wall: for the published times; now: the loop's clock."""
+    """Runs the batches of a front node.
+
+    `wall` is the clock of the published times, in seconds since the epoch; `now` is the event loop's clock.
+    """
 
     def __init__(
         self,
@@ -145,289 +151,315 @@
             now,
             wall,
         )
-        self.limit, self.fair = Limit(), Fair[int]()
-        self.batches = {key.decode(): Batch.read(orjson.loads(value)) for key, value in store.scan(SPACE)}
-        self.running: dict[str, Running] = {}
+        self.limit, self.scheduler = ConcurrencyLimit(), FairScheduler[int]()
+        self.batches = {
+            key.decode(): Batch.from_record(orjson.loads(value)) for key, value in store.scan(SPACE)
+        }
+        self.active_batches: dict[str, ActiveBatch] = {}
         manager.on_first_token, manager.on_stream_finished = (
-            self.limit.session_answered,
+            self.limit.session_first_token,
             self.limit.session_streamed,
         )
-        self.out = 0
+        self.in_flight = 0  # lines of all batches
         self.stopping = False
         self.tasks = Tasks("batches")
-        self.changed = asyncio.Event()
-        self.written = 0
+        self.changed = asyncio.Event()  # wakes the scheduling loop
+        self.lines_written = 0
 
-    # What clients ask for.
+    # Client operations.
 
-    async def create(self, member: int, file: str, window: float, metadata: Mapping[str, str]) -> Batch:
-        batch = Batch(new_id("batch"), member, file, self.wall(), window, dict(metadata))
-        await self.keep(batch)
+    async def create(self, tenant: int, file: str, window: float, metadata: Mapping[str, str]) -> Batch:
+        """Record a batch with a window of `window` s and start checking its file; raises StoreError."""
+        batch = Batch(new_id("batch"), tenant, file, self.wall(), window, dict(metadata))
+        await self.save(batch)
         self.batches[batch.id] = batch
         self.file_storage.hold(file)
-        self.tasks.spawn(self.check(batch))
+        self.tasks.spawn(self.check_and_start(batch))
         return batch
 
     async def cancel(self, batch: Batch) -> None:
-        """What is out ends; what was answered stays. Raises StatusError."""
-        batch.goes(Status.CANCELLING, self.wall())
-        await self.keep(batch)
-        running = self.running.get(batch.id)
-        if running:
-            self.end_soon(running, Status.CANCELLED)
+        """Cancel the lines in flight and keep the results so far; raises StatusError."""
+        batch.transition_to(Status.CANCELLING, self.wall())
+        await self.save(batch)
+        active = self.active_batches.get(batch.id)
+        if active:
+            self.start_ending(active, Status.CANCELLED)
 
-    def of(self, member: int) -> list[Batch]:
-        """Newest first."""
-        mine = [b for b in self.batches.values() if b.member == member]
-        return sorted(mine, key=lambda b: (-b.created, b.id))
+    def batches_of(self, tenant: int) -> list[Batch]:
+        """Return a tenant's batches, the newest first."""
+        tenant_batches = [b for b in self.batches.values() if b.member == tenant]
+        return sorted(tenant_batches, key=lambda b: (-b.created, b.id))
 
-    # From start to stop.
+    # Start and stop.
 
     def start(self) -> None:
-        """Goes on with what earlier starts have left."""
+        """Start scheduling and resume the batches that had not ended when the last process stopped."""
         for batch in list(self.batches.values()):
-            if batch.status not in OVER:
+            if batch.status not in FINAL_STATUSES:
                 self.file_storage.hold(batch.input_file)
-                self.tasks.spawn(self.check(batch))
+                self.tasks.spawn(self.check_and_start(batch))
         self.tasks.spawn(self.run())
 
     async def stop(self) -> None:
-        """What is out is left to its identity: the next start asks for it by its key."""
+        """Write the finished results and stop.
+
+        The next start submits the lines in flight again, under the same idempotency keys.
+        """
         self.stopping = True
-        for running in list(self.running.values()):
-            await self.write(running)
+        for active in list(self.active_batches.values()):
+            await self.write_results(active)
         tasks = list(self.tasks.running)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        for running in self.running.values():
-            if running.answers:
-                running.answers.close()
+        for active in self.active_batches.values():
+            if active.result_files:
+                active.result_files.close()
 
-    async def keep(self, batch: Batch, *more: Change) -> None:
-        await self.store.write([Change(SPACE, batch.id.encode(), orjson.dumps(batch.kept())), *more])
+    async def save(self, batch: Batch, *more: Change) -> None:
+        await self.store.write([Change(SPACE, batch.id.encode(), orjson.dumps(batch.to_record())), *more])
 
-    async def keep_surely(self, batch: Batch, *more: Change) -> None:
-        """Until it is on disk: a batch waits for its store, and loses nothing meanwhile."""
+    async def save_with_retry(self, batch: Batch, *more: Change) -> None:
+        """Save a batch, retrying until it is on disk; the batch loses nothing meanwhile."""
         while True:
             try:
-                await self.keep(batch, *more)
+                await self.save(batch, *more)
                 return
             except StoreError as problem:
-                log.error("batch not recorded; tried again", batch=batch.id, why=str(problem))
-                await asyncio.sleep(DISK_AGAIN)
+                log.error("batch record not written; retrying", batch=batch.id, why=str(problem))
+                await asyncio.sleep(DISK_RETRY_SECONDS)
 
-    # Checking.
+    # Validation.
 
-    async def check(self, batch: Batch) -> None:
-        """Reads the whole file, off the loop, and begins with its lines or fails it."""
+    async def check_and_start(self, batch: Batch) -> None:
+        """Check the whole input file, off the event loop, then queue the lines or fail the batch."""
         loop = asyncio.get_running_loop()
-        checked = await loop.run_in_executor(None, self.read_file, batch)
-        running = Running(batch, checked.places)
+        file_check = await loop.run_in_executor(None, self.check_file, batch)
+        active = ActiveBatch(batch, file_check.locations)
         if batch.status is Status.VALIDATING:
-            if checked.wrong:
-                batch.mistakes = [m.body() for m in checked.mistakes]
-                batch.goes(Status.FAILED, self.wall())
-                await self.keep(batch)
-                self.file_storage.let_go(batch.input_file)
+            if file_check.mistake_count:
+                batch.mistakes = [m.body() for m in file_check.mistakes]
+                batch.transition_to(Status.FAILED, self.wall())
+                await self.save(batch)
+                self.file_storage.release(batch.input_file)
                 return
-            batch.validated(len(checked.places), self.wall())
-            await self.keep(batch)
-        self.running[batch.id] = running
-        running.answers = Answers(self.file_storage.folder, batch.id, batch.outputs)
+            batch.mark_validated(len(file_check.locations), self.wall())
+            await self.save(batch)
+        self.active_batches[batch.id] = active
+        active.result_files = ResultFiles(self.file_storage.folder, batch.id, batch.outputs)
         if batch.status in (Status.CANCELLING, Status.FINALIZING):
             cancelled = batch.status is Status.CANCELLING
-            self.end_soon(running, Status.CANCELLED if cancelled else Status.COMPLETED)
+            self.start_ending(active, Status.CANCELLED if cancelled else Status.COMPLETED)
             return
-        items = [index for index in checked.sequence if not batch.is_done(index)]
-        queue = Queue(batch.member, items, batch.created, batch.expires)
+        items = [index for index in file_check.submission_order if not batch.is_answered(index)]
+        queue = LineQueue(batch.member, items, batch.created, batch.expires_at)
         queue.total = max(1, batch.total)
-        self.fair.add(batch.id, queue)
+        self.scheduler.add(batch.id, queue)
         self.changed.set()
         if not items:
-            self.end_soon(running, Status.COMPLETED)
+            self.start_ending(active, Status.COMPLETED)
 
-    def read_file(self, batch: Batch) -> Checked:
-        checked, cutter = Checked(self.manager.catalog), Cutter()
+    def check_file(self, batch: Batch) -> InputFileCheck:
+        file_check, splitter = InputFileCheck(self.manager.catalog), LineSplitter()
         try:
             for data in self.file_storage.chunks(batch.input_file):
-                for line in cutter.feed(data):
-                    checked.take(*line)
-            for line in cutter.end():
-                checked.take(*line)
+                for line in splitter.feed(data):
+                    file_check.add_line(*line)
+            for line in splitter.end():
+                file_check.add_line(*line)
         except OSError as problem:
-            checked.mistake("file_unreadable", f"the file can't be read: {problem.strerror}", None)
-        checked.ends()
-        return checked
+            file_check.add_mistake("file_unreadable", f"the file can't be read: {problem.strerror}", None)
+        file_check.finish()
+        return file_check
 
-    def line(self, running: Running, index: int) -> Line:
-        """Raises LineError or OSError: the file was whole when it was checked."""
-        number, place, size = running.places[index]
-        with self.file_storage.path(running.batch.input_file).open("rb") as file:
-            file.seek(place)
-            return read_line(file.read(size).rstrip(b"\n"), number, self.manager.catalog)
+    def read_line(self, active: ActiveBatch, index: int) -> Line:
+        """Read a line that was valid when the file was checked; raises LineError or OSError."""
+        number, offset, size = active.locations[index]
+        with self.file_storage.path(active.batch.input_file).open("rb") as file:
+            file.seek(offset)
+            return parse_line(file.read(size).rstrip(b"\n"), number, self.manager.catalog)
 
-    # Running.
+    # Execution.
 
     async def run(self) -> None:
+        """Submit lines as the concurrency limit allows, and end expired batches."""
         while True:
             self.changed.clear()
             now = self.now()
-            room = self.limit.room(self.out, now)
+            available = self.limit.available(self.in_flight, now)
             while (
-                room > 0
+                available > 0
                 and not self.stopping
                 and not self.manager.stopping
-                and (found := self.fair.next(self.wall())) is not None
+                and (found := self.scheduler.next(self.wall())) is not None
             ):
-                self.ask(*found)
-                room -= 1
-            for running in list(self.running.values()):
-                if self.wall() >= running.batch.expires and running.ending is None:
-                    self.end_soon(running, Status.EXPIRED)
+                self.submit_line(*found)
+                available -= 1
+            for active in list(self.active_batches.values()):
+                if self.wall() >= active.batch.expires_at and active.final_status is None:
+                    self.start_ending(active, Status.EXPIRED)
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(TICK):
+                async with asyncio.timeout(SCHEDULE_INTERVAL_SECONDS):
                     await self.changed.wait()
 
-    def ask(self, name: str, index: int) -> None:
-        running = self.running[name]
+    def submit_line(self, batch_id: str, index: int) -> None:
+        active = self.active_batches[batch_id]
         try:
-            line = self.line(running, index)
+            line = self.read_line(active, index)
         except (LineError, OSError) as problem:
-            self.settle(running, index, False, failed_line(None, "", "file_unreadable", str(problem)))
+            self.add_result(active, index, False, failed_line(None, "", "file_unreadable", str(problem)))
             return
-        asked = dict(line.asked)
-        # The same line is the same completion, at whichever start of the front: what may have run is not run
-        # again where that does harm, and what had ended gives its answer.
-        asked["mark"] = f"{name}-{line.number}"
-        asked["member"] = running.batch.member
-        one = running.out[index] = Asked(self, running, index, line)
-        self.out += 1
-        one.session.submit(0, asked, self.now(), running.places[index][2])
-
-    def first_token(self, asked: Asked) -> None:
-        target = self.manager.catalog.latency_target(asked.line.asked["workload"], asked.line.asked["prompt"])
-        part = inf if asked.first is None else asked.first / target
-        held_back = self.limit.room(self.out, self.now()) == 0
-        self.limit.line_answered(asked.sent, part, held_back, self.now())
-
-    def gone(self, asked: Asked) -> None:
-        if not asked.over:
-            asked.over = True
-            self.out -= 1
-            asked.running.out.pop(asked.index, None)
+        request = dict(line.request)
+        # The idempotency key of a line is the same after a restart of the front node. A request that may have
+        # run is not run again where that is unsafe, and one that had finished returns its stored answer.
+        request["mark"] = f"{batch_id}-{line.number}"
+        request["member"] = active.batch.member
+        line_request = active.in_flight[index] = LineRequest(self, active, index, line)
+        self.in_flight += 1
+        line_request.session.submit(0, request, self.now(), active.locations[index][2])
+
+    def record_first_token(self, line_request: LineRequest) -> None:
+        target = self.manager.catalog.first_token_target(
+            line_request.line.request["workload"], line_request.line.request["prompt"]
+        )
+        target_share = (
+            inf if line_request.first_token_time is None else line_request.first_token_time / target
+        )
+        limit_reached = self.limit.available(self.in_flight, self.now()) == 0
+        self.limit.line_first_token(line_request.sent_at, target_share, limit_reached, self.now())
+
+    def line_ended(self, line_request: LineRequest) -> None:
+        if not line_request.ended:
+            line_request.ended = True
+            self.in_flight -= 1
+            line_request.active.in_flight.pop(line_request.index, None)
             self.changed.set()
 
-    def later(self, asked: Asked, wait: float, slow: bool) -> None:
-        """It is asked again; slow: for want of room."""
+    def retry_later(self, line_request: LineRequest, delay: float, slow: bool) -> None:
+        """Queue a line for another attempt after `delay` s; `slow`: it was rate-limited."""
         if slow:
-            self.first_token(asked)
-        self.gone(asked)
-        queue = self.fair.queues.get(asked.running.batch.id)
-        if queue is not None and asked.running.ending is None:
-            queue.again(asked.index, self.wall() + wait)
-        elif asked.running.ending is not None:
-            self.settle(
-                asked.running,
-                asked.index,
+            self.record_first_token(line_request)
+        self.line_ended(line_request)
+        queue = self.scheduler.queues.get(line_request.active.batch.id)
+        if queue is not None and line_request.active.final_status is None:
+            queue.requeue(line_request.index, self.wall() + delay)
+        elif line_request.active.final_status is not None:
+            self.add_result(
+                line_request.active,
+                line_request.index,
                 False,
                 failed_line(
-                    asked.line.custom_id, "", "batch_" + asked.running.ending.value, "the batch ended before"
+                    line_request.line.custom_id,
+                    "",
+                    "batch_" + line_request.active.final_status.value,
+                    "the batch ended before",
                 ),
             )
 
-    def ends(self, asked: Asked, good: bool, answer: dict[str, Any]) -> None:
-        self.gone(asked)
-        self.settle(asked.running, asked.index, good, answer)
+    def finish_line(self, line_request: LineRequest, succeeded: bool, result: dict[str, Any]) -> None:
+        self.line_ended(line_request)
+        self.add_result(line_request.active, line_request.index, succeeded, result)
 
-    def settle(self, running: Running, index: int, good: bool, answer: dict[str, Any]) -> None:
-        """Its answer is to be written, once."""
-        if running.batch.is_done(index) or index in running.settled:
+    def add_result(self, active: ActiveBatch, index: int, succeeded: bool, result: dict[str, Any]) -> None:
+        """Keep a line's result for the next write; a second result of the same line is dropped."""
+        if active.batch.is_answered(index) or index in active.answered:
             return
-        running.settled[index] = None
-        running.ready[not good].append(orjson.dumps(answer) + b"\n")
-        running.marked.append((index, good))
-        if len(running.marked) == 1:
-            self.tasks.spawn(self.write_soon(running))
-
-    async def write_soon(self, running: Running) -> None:
-        await asyncio.sleep(GROUP)
-        await self.write(running)
-
-    async def write(self, running: Running) -> None:
-        """Answers first, then the record that says which lines have them and how many bytes count: a crash
-        between leaves bytes that are cut off, and lines that are asked for again by their keys."""
-        if not running.marked or running.answers is None:
+        active.answered[index] = None
+        active.unwritten_lines[not succeeded].append(orjson.dumps(result) + b"\n")
+        active.unwritten_marks.append((index, succeeded))
+        if len(active.unwritten_marks) == 1:
+            self.tasks.spawn(self.write_results_soon(active))
+
+    async def write_results_soon(self, active: ActiveBatch) -> None:
+        await asyncio.sleep(RESULT_WRITE_DELAY_SECONDS)
+        await self.write_results(active)
+
+    async def write_results(self, active: ActiveBatch) -> None:
+        """Write results, then the record of which lines have one and how many bytes of the files are valid.
+
+        After a crash in between, the next start cuts off the unrecorded bytes and submits the lines again
+        under the same idempotency keys.
+        """
+        if not active.unwritten_marks or active.result_files is None:
             return
-        ready, marked = running.ready, running.marked
-        running.ready, running.marked = ([], []), []
-        batch, loop = running.batch, asyncio.get_running_loop()
+        lines, marks = active.unwritten_lines, active.unwritten_marks
+        active.unwritten_lines, active.unwritten_marks = ([], []), []
+        batch, loop = active.batch, asyncio.get_running_loop()
         try:
-            counts = await loop.run_in_executor(None, running.answers.write, ready)
+            counts = await loop.run_in_executor(None, active.result_files.write, lines)
         except OSError as problem:
-            log.error("answers not written; tried again", batch=batch.id, why=str(problem))
-            running.ready = (ready[0] + running.ready[0], ready[1] + running.ready[1])
-            running.marked = marked + running.marked
-            await asyncio.sleep(DISK_AGAIN)
-            self.tasks.spawn(self.write_soon(running))
+            log.error("batch results not written; retrying", batch=batch.id, why=str(problem))
+            active.unwritten_lines = (
+                lines[0] + active.unwritten_lines[0],
+                lines[1] + active.unwritten_lines[1],
+            )
+            active.unwritten_marks = marks + active.unwritten_marks
+            await asyncio.sleep(DISK_RETRY_SECONDS)
+            self.tasks.spawn(self.write_results_soon(active))
             return
         batch.outputs = counts
-        for index, good in marked:
-            batch.answered(index, good)
-        self.written += len(marked)
-        await self.keep_surely(batch)
-        if not batch.left and running.ending is None:
-            self.end_soon(running, Status.COMPLETED)
-
-    # The end.
-
-    def end_soon(self, running: Running, how: Status) -> None:
-        if running.ending is None:
-            running.ending = how
-            self.tasks.spawn(self.end(running, how))
-
-    async def end(self, running: Running, how: Status) -> None:
-        """Nothing new goes out; what is out ends; then the files get their names, whole."""
-        batch = running.batch
-        self.fair.remove(batch.id)
-        for asked in list(running.out.values()):
-            asked.session.cancel(0)
-        while running.out or running.marked:
-            await self.write(running)
-            await asyncio.sleep(GROUP)
-        if how is Status.COMPLETED and batch.status is Status.IN_PROGRESS:
-            batch.goes(Status.FINALIZING, self.wall())
-            await self.keep_surely(batch)
-        assert running.answers
-        running.answers.close()
-        names, changes = {}, []
+        for index, succeeded in marks:
+            batch.mark_answered(index, succeeded)
+        self.lines_written += len(marks)
+        await self.save_with_retry(batch)
+        if not batch.remaining and active.final_status is None:
+            self.start_ending(active, Status.COMPLETED)
+
+    # End of a batch.
+
+    def start_ending(self, active: ActiveBatch, status: Status) -> None:
+        if active.final_status is None:
+            active.final_status = status
+            self.tasks.spawn(self.end_batch(active, status))
+
+    async def end_batch(self, active: ActiveBatch, final_status: Status) -> None:
+        """Stop submitting, cancel the lines in flight, then publish the complete result files."""
+        batch = active.batch
+        self.scheduler.remove(batch.id)
+        for line_request in list(active.in_flight.values()):
+            line_request.session.cancel(0)
+        while active.in_flight or active.unwritten_marks:
+            await self.write_results(active)
+            await asyncio.sleep(RESULT_WRITE_DELAY_SECONDS)
+        if final_status is Status.COMPLETED and batch.status is Status.IN_PROGRESS:
+            batch.transition_to(Status.FINALIZING, self.wall())
+            await self.save_with_retry(batch)
+        assert active.result_files
+        active.result_files.close()
+        entries, changes = {}, []
         loop = asyncio.get_running_loop()
-        for kind, size, path in zip(("output", "error"), batch.outputs, running.answers.paths, strict=True):
+        for kind, size, path in zip(
+            ("output", "error"), batch.outputs, active.result_files.paths, strict=True
+        ):
             if size:
                 name = f"file-{batch.id.removeprefix('batch-')}-{kind}"
-                # The same name at whichever start: what a crash left under it is written over.
-                await loop.run_in_executor(None, whole, path, self.file_storage.path(name))
+                # The name is the same after a restart, so that a file left by a crash is replaced.
+                await loop.run_in_executor(None, publish_file, path, self.file_storage.path(name))
                 filename = f"{batch.id}_{kind}.jsonl"
-                entry = self.file_storage.entry(name, batch.member, filename, "batch_output", size)
-                names[kind] = entry
+                entry = self.file_storage.make_entry(name, batch.member, filename, "batch_output", size)
+                entries[kind] = entry
                 changes.append(self.file_storage.change(entry))
-        batch.output_file = names["output"]["id"] if "output" in names else ""
-        batch.error_file = names["error"]["id"] if "error" in names else ""
-        # Guards against a status seen before its files: who sees it fetches them at once.
-        for entry in names.values():
-            self.file_storage.took(entry["id"], entry)
-        batch.goes(how, self.wall())
-        await self.keep_surely(batch, *changes)
-        for path in running.answers.paths:
+        batch.output_file = entries["output"]["id"] if "output" in entries else ""
+        batch.error_file = entries["error"]["id"] if "error" in entries else ""
+        # A client that sees the final status fetches the files at once, so they are listed before it is set.
+        for entry in entries.values():
+            self.file_storage.add_entry(entry["id"], entry)
+        batch.transition_to(final_status, self.wall())
+        await self.save_with_retry(batch, *changes)
+        for path in active.result_files.paths:
             path.unlink(missing_ok=True)
-        self.running.pop(batch.id, None)
-        self.file_storage.let_go(batch.input_file)
+        self.active_batches.pop(batch.id, None)
+        self.file_storage.release(batch.input_file)
         log.info(
-            "batch over", batch=batch.id, status=how.value, completed=batch.completed, failed=batch.failed
+            "batch ended",
+            batch=batch.id,
+            status=final_status.value,
+            completed=batch.completed,
+            failed=batch.failed,
         )
 
 
-def whole(part: Path, path: Path) -> None:
-    """A link, so that the part stays until the record says that the whole one is there."""
+def publish_file(part: Path, path: Path) -> None:
+    """Hard-link a complete file to its final name; the old name stays until the batch record is written."""
     path.unlink(missing_ok=True)
     path.hardlink_to(part)
--- a/heathford/batch/state.py
+++ b/heathford/batch/state.py
@@ -1,18 +1,18 @@
-"""The life of a batch: its states, its counts, and what becomes of each line; no I/O."""
+"""State of a batch: its status, its counts, and retry decisions for its lines; no I/O."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, field
 from enum import Enum
 from typing import Any
 
-TRIES = 50  # of one line that is rate-limited, in all: with the waits below, hours
-WAIT = 0.5  # s until a line that was rate-limited is asked again, doubled each time
-WAIT_MOST = 60.0  # s
-POISON = 3  # aborts of a line that may run again after which it is set apart: it is what aborts
+MAX_RATE_LIMITED_ATTEMPTS = 50  # of one line; hours in all, with the delays below
+RETRY_DELAY_SECONDS = 0.5  # before a rate-limited line is retried, doubled each time
+MAX_RETRY_DELAY_SECONDS = 60.0
+MAX_ABORTED_ATTEMPTS = 3  # of one line; after these the line itself is taken to be the cause
 
 
 class Status(Enum):
-    """As the published API names them."""
+    """Status of a batch, with the names of the published API."""
 
     VALIDATING = "validating"
     FAILED = "failed"
@@ -24,8 +24,8 @@
     CANCELLED = "cancelled"
 
 
-OVER = frozenset({Status.FAILED, Status.COMPLETED, Status.EXPIRED, Status.CANCELLED})
-NEXT: Mapping[Status, frozenset[Status]] = {
+FINAL_STATUSES = frozenset({Status.FAILED, Status.COMPLETED, Status.EXPIRED, Status.CANCELLED})
+TRANSITIONS: Mapping[Status, frozenset[Status]] = {
     Status.VALIDATING: frozenset({Status.FAILED, Status.IN_PROGRESS, Status.CANCELLING}),
     Status.IN_PROGRESS: frozenset({Status.FINALIZING, Status.CANCELLING, Status.EXPIRED}),
     Status.FINALIZING: frozenset({Status.COMPLETED, Status.EXPIRED, Status.CANCELLED}),
@@ -34,64 +34,68 @@
 
 
 class StatusError(Exception):
-    """A batch can't go from one status to the other; the text says so."""
+    """The batch can't change from its status to the requested one."""
 
 
 @dataclass
 class Batch:
-    """Times are wall, s. The marks say which lines have their answer in the output or error file."""
+    """A batch as it is stored; the names of the fields are keys of the stored record.
+
+    Times are in seconds of the wall clock. `marks` is a bitmap of the lines that have a result in the output
+    or the error file.
+    """
 
     id: str
-    member: int
+    member: int  # index of the tenant
     input_file: str
     created: float
-    window: float  # s within which it is to be done
+    window: float  # completion window, s
     metadata: Mapping[str, str] = field(default_factory=dict)
     status: Status = Status.VALIDATING
     total: int = 0
     completed: int = 0
     failed: int = 0
     marks: bytearray = field(default_factory=bytearray)
-    outputs: tuple[int, int] = (0, 0)  # bytes of output and error file that count
+    outputs: tuple[int, int] = (0, 0)  # valid bytes of the output and the error file
     output_file: str = ""
     error_file: str = ""
     times: dict[str, float] = field(default_factory=dict)
     mistakes: list[dict[str, Any]] = field(default_factory=list)
 
     @property
-    def expires(self) -> float:
+    def expires_at(self) -> float:
         return self.created + self.window
 
-    def goes(self, status: Status, now: float) -> None:
-        """Raises StatusError where the published life of a batch has no such step."""
-        if status not in NEXT.get(self.status, frozenset()):
+    def transition_to(self, status: Status, now: float) -> None:
+        """Change the status; raises StatusError if the published API has no such transition."""
+        if status not in TRANSITIONS.get(self.status, frozenset()):
             raise StatusError(f"batch {self.id} is {self.status.value}: it can't become {status.value}")
         self.status = status
         self.times[status.value] = now
 
-    def validated(self, total: int, now: float) -> None:
+    def mark_validated(self, total: int, now: float) -> None:
         self.total = total
         self.marks = bytearray((total + 7) // 8)
-        self.goes(Status.IN_PROGRESS, now)
+        self.transition_to(Status.IN_PROGRESS, now)
 
-    def is_done(self, index: int) -> bool:
+    def is_answered(self, index: int) -> bool:
         return bool(self.marks[index // 8] & 1 << index % 8)
 
-    def answered(self, index: int, good: bool) -> bool:
-        """Counts a line's answer; False where it had one: it must not be written again."""
-        if self.is_done(index):
+    def mark_answered(self, index: int, succeeded: bool) -> bool:
+        """Count a line's result; return False if it had one already, which must not be written again."""
+        if self.is_answered(index):
             return False
         self.marks[index // 8] |= 1 << index % 8
-        self.completed += good
-        self.failed += not good
+        self.completed += succeeded
+        self.failed += not succeeded
         return True
 
     @property
-    def left(self) -> int:
+    def remaining(self) -> int:
         return self.total - self.completed - self.failed
 
-    def kept(self) -> dict[str, Any]:
-        """Plain values that read() takes."""
+    def to_record(self) -> dict[str, Any]:
+        """Return the batch as plain values for storage; see `from_record`."""
         return {
             "id": self.id,
             "member": self.member,
@@ -112,22 +116,22 @@
         }
 
     @classmethod
-    def read(cls, said: Mapping[str, Any]) -> "Batch":
-        plain = {k: v for k, v in said.items() if k not in ("status", "marks", "outputs")}
-        first, second = said["outputs"]
+    def from_record(cls, record: Mapping[str, Any]) -> "Batch":
+        plain = {k: v for k, v in record.items() if k not in ("status", "marks", "outputs")}
+        first, second = record["outputs"]
         return cls(
-            status=Status(said["status"]),
-            marks=bytearray.fromhex(said["marks"]),
+            status=Status(record["status"]),
+            marks=bytearray.fromhex(record["marks"]),
             outputs=(first, second),
             **plain,
         )
 
-    def body(self, names: Mapping[str, str]) -> dict[str, Any]:
-        """As the published API shows it; times in whole seconds; names: of files, by what they are."""
+    def body(self, file_ids: Mapping[str, str]) -> dict[str, Any]:
+        """Return the batch object of the published API; `file_ids` has the result files by kind."""
 
         def at(status: Status) -> int | None:
-            found = self.times.get(status.value)
-            return None if found is None else int(found)
+            time = self.times.get(status.value)
+            return None if time is None else int(time)
 
         return {
             "id": self.id,
@@ -137,11 +141,11 @@
             "errors": {"object": "list", "data": self.mistakes} if self.mistakes else None,
             "input_file_id": self.input_file,
             "completion_window": f"{self.window / 3600:g}h",
-            "output_file_id": names.get("output") or None,
-            "error_file_id": names.get("error") or None,
+            "output_file_id": file_ids.get("output") or None,
+            "error_file_id": file_ids.get("error") or None,
             "created_at": int(self.created),
             "in_progress_at": at(Status.IN_PROGRESS),
-            "expires_at": int(self.expires),
+            "expires_at": int(self.expires_at),
             "finalizing_at": at(Status.FINALIZING),
             "completed_at": at(Status.COMPLETED),
             "failed_at": at(Status.FAILED),
@@ -153,26 +157,35 @@
         }
 
 
-class Again(Enum):
+class RetryDecision(Enum):
+    """Whether a line is retried."""
+
     LATER = "later"
-    NEVER = "never"  # its answer is written as it is
+    NEVER = "never"  # its failure is its result
 
 
 @dataclass
-class Tries:
-    """What one line has met so far; kept while the front runs."""
+class LineRetries:
+    """Failed attempts of one line since the front node started."""
 
-    refused: int = 0
+    rate_limited: int = 0
     aborted: int = 0
 
-    def after_refusal(self) -> tuple[Again, float]:
-        """And s until it is asked again."""
-        self.refused += 1
-        wait = min(WAIT * 2 ** min(self.refused - 1, 10), WAIT_MOST)
-        return (Again.LATER if self.refused < TRIES else Again.NEVER), wait
+    def after_rate_limit(self) -> tuple[RetryDecision, float]:
+        """Count a rate-limited attempt; return the decision and the delay of the retry in seconds."""
+        self.rate_limited += 1
+        delay = min(RETRY_DELAY_SECONDS * 2 ** min(self.rate_limited - 1, 10), MAX_RETRY_DELAY_SECONDS)
+        return (
+            RetryDecision.LATER if self.rate_limited < MAX_RATE_LIMITED_ATTEMPTS else RetryDecision.NEVER
+        ), delay
+
+    def after_abort(self, repeatable: bool) -> tuple[RetryDecision, float]:
+        """Count an aborted attempt; return the decision and the delay of the retry in seconds.
 
-    def after_abort(self, harmless: bool) -> tuple[Again, float]:
-        """harmless: it may run again. Guards against a line that breaks what answers it, again and again: it
-        is set apart with its abort, and the others go on."""
+        `repeatable` says whether the request may run again. A line that repeatedly breaks the engine which
+        serves it fails, and the other lines continue.
+        """
         self.aborted += 1
-        return (Again.LATER if harmless and self.aborted < POISON else Again.NEVER), WAIT * self.aborted
+        return (
+            RetryDecision.LATER if repeatable and self.aborted < MAX_ABORTED_ATTEMPTS else RetryDecision.NEVER
+        ), RETRY_DELAY_SECONDS * self.aborted
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -174,7 +174,7 @@
         await self.registry.first_list.wait()
         if self.folder:
             memory = self.memory = await Memory.open(self.folder, self.come_back, self.serves_without)
-            restored = memory.restore(self.manager.identities, loop.time())
+            restored = memory.restore(self.manager.idempotency_table, loop.time())
             await memory.begin(self.core.tally)
             self.manager.memory = memory
             if self.batches and memory.store:
@@ -183,7 +183,7 @@
                     folder, memory.store, self.batches.most_file, self.batches.most_files
                 )
                 self.runner = Runner(self.manager, memory.store, file_storage, loop.time)
-                self.application.add_handlers(".*", batch_routes(self.runner, self.manager.catalog.members))
+                self.application.add_handlers(".*", batch_routes(self.runner, self.manager.catalog.tenants))
                 self.runner.start()
             log.info("store open", start=memory.start, completions=restored)
         sockets = bind_sockets(self.declared.port, self.declared.address, backlog=1024)
--- a/heathford/sessions/session.py
+++ b/heathford/sessions/session.py
@@ -96,7 +96,7 @@
         max_waiting: int,
     ) -> None:
         self.core, self.catalog, self.capacity, self.fair_queue = core, catalog, capacity, fair_queue
-        self.identities, self.now, self.call_at = idempotency_table, now, call_at
+        self.idempotency_table, self.now, self.call_at = idempotency_table, now, call_at
         self.repeat_counter = RepeatCounter(idempotency_table.max_requests, idempotency_table.retention)
         self.max_active, self.max_waiting = max_active, max_waiting
         self.retry_after = RETRY_AFTER
@@ -302,7 +302,7 @@
     @property
     def latency_target(self) -> float:
         """Time in s within which its first token is wanted."""
-        return self.session.manager.catalog.latency_target(
+        return self.session.manager.catalog.first_token_target(
             self.arguments["workload"], self.arguments["prompt"]
         )
 
@@ -317,7 +317,7 @@
             self.arguments["member"],
             self.arguments["mark"],
         )
-        lookup_result, shared = manager.identities.look_up(
+        lookup_result, shared = manager.idempotency_table.look_up(
             tenant, idempotency_key, self.body_digest, manager.now()
         )
         if lookup_result is LookupResult.CONFLICT:
@@ -352,18 +352,18 @@
             # A rate-limited answer promises that a repeat is safe, so a repeat must not get that answer
             # again; an idempotent request that was aborted is run again. All other answers are kept.
             if shared.was_rate_limited or (effect is Effect.IDEMPOTENT and not shared.was_finished):
-                manager.identities.remove(tenant, idempotency_key)
+                manager.idempotency_table.remove(tenant, idempotency_key)
                 if idempotency_key and manager.memory:
                     manager.memory.forgets(tenant, idempotency_key, effect)
             else:
-                manager.identities.mark_ended(tenant, idempotency_key, manager.now())
+                manager.idempotency_table.mark_ended(tenant, idempotency_key, manager.now())
                 if idempotency_key and manager.memory:
                     manager.memory.ended(tenant, idempotency_key, self.body_digest, effect, shared)
 
         shared = self.shared = SharedRequest(ended)
         shared.join(self)
         if idempotency_key:
-            manager.identities.add(tenant, idempotency_key, self.body_digest, effect, shared)
+            manager.idempotency_table.add(tenant, idempotency_key, self.body_digest, effect, shared)
         if idempotency_key and manager.memory:
             manager.memory.begins(
                 tenant,
--- a/heathford/sessions/workload_catalog.py
+++ b/heathford/sessions/workload_catalog.py
@@ -31,12 +31,12 @@
 class WorkloadCatalog:
     """The workloads by name and by index, and the tenants that requests may name."""
 
-    def __init__(self, workloads: Sequence[WorkloadLimits], members: Sequence[str]) -> None:
+    def __init__(self, workloads: Sequence[WorkloadLimits], tenants: Sequence[str]) -> None:
         self.by_name = {limits.name: limits for limits in workloads}
         self.by_index = list(workloads)
-        self.members = {name: index for index, name in enumerate(members)}
+        self.tenants = {name: index for index, name in enumerate(tenants)}
 
-    def latency_target(self, workload: int, prompt: int) -> float:
+    def first_token_target(self, workload: int, prompt: int) -> float:
         """Return the time in s within which the first token of a prompt of so many tokens is wanted."""
         limits = self.by_index[workload]
         return limits.latency_target + limits.target_per_1000 * prompt / 1000
@@ -48,7 +48,7 @@
         if limits is None:
             raise ParamsError(f"model: {model!r} is no workload here; allowed are {', '.join(self.by_name)}")
         user = parse_text(params, "user")
-        if user and self.members and user not in self.members:
+        if user and self.tenants and user not in self.tenants:
             raise ParamsError(f"user: {user!r} is no member here")
         prompt = params.get("prompt")
         tokens = count_prompt_tokens(prompt, limits.bytes_per_token)
@@ -71,7 +71,7 @@
             raise ParamsError(f"timeout: {timeout!r}; allowed is a number of seconds up to {MAX_TIMEOUT:g}")
         return {
             "workload": limits.index,
-            "member": self.members.get(user, 0),
+            "member": self.tenants.get(user, 0),
             "shared": parse_text(params, "prompt_cache_key"),
             "prompt": tokens,
             "shared_tokens": shared_tokens,
--- a/heathford/store/__init__.py
+++ b/heathford/store/__init__.py
@@ -1,1 +1,1 @@
-"""An embedded store that lasts: a log of checksummed records, an index of persistent maps, snapshots."""
+"""Embedded durable key-value store: a log of checksummed records, an index of persistent maps, snapshots."""
--- a/heathford/store/files.py
+++ b/heathford/store/files.py
@@ -1,4 +1,4 @@
-"""The file system as the store uses it: few calls, each of which can fail."""
+"""File system interface of the store: the few operations that it uses, each of which may raise OSError."""
 
 import fcntl
 import os
@@ -7,8 +7,10 @@
 
 
 class Files(Protocol):
-    """One folder. Names have no path. What is written is safe only after sync; a new or renamed name only
-    after sync_names."""
+    """Files of one directory, by names without a path.
+
+    Data is durable only after `sync`; a created, renamed or removed name only after `sync_directory`.
+    """
 
     def names(self) -> list[str]: ...
 
@@ -17,7 +19,7 @@
     def size(self, name: str) -> int: ...
 
     def append(self, name: str, data: bytes) -> None:
-        """Raises OSError; part of the data may then be there."""
+        """Append data; if this raises OSError, part of it may have been written."""
 
     def truncate(self, name: str, size: int) -> None: ...
 
@@ -31,23 +33,25 @@
 
 
 class LockedError(Exception):
-    """Another process has the store; the text says which."""
+    """Another process has locked the store; the message names it."""
 
 
 class RealFiles:
+    """Files of a directory on the local file system, created if it does not exist."""
+
     def __init__(self, folder: Path) -> None:
         self.folder = folder
         folder.mkdir(parents=True, exist_ok=True)
-        self.open: dict[str, int] = {}  # descriptors of files that are appended to
-        self.lock: int | None = None
+        self.descriptors: dict[str, int] = {}  # of the files opened for appending, by name
+        self.lock: int | None = None  # descriptor of the locked file
 
-    def take(self) -> None:
-        """Locks the folder for this process; raises LockedError."""
+    def acquire_lock(self) -> None:
+        """Lock the directory for this process; raises LockedError."""
         lock = os.open(self.folder / "lock", os.O_RDWR | os.O_CREAT | os.O_CLOEXEC, 0o644)
         try:
             fcntl.flock(lock, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError:
-            holder = os.read(lock, 200).decode(errors="replace").strip() or "a process that has not said"
+            holder = os.read(lock, 200).decode(errors="replace").strip() or "an unknown process"
             os.close(lock)
             raise LockedError(f"{self.folder} is in use by {holder}") from None
         os.ftruncate(lock, 0)
@@ -64,14 +68,15 @@
         return (self.folder / name).stat().st_size
 
     def descriptor(self, name: str) -> int:
-        if name not in self.open:
+        """Return the descriptor of a file, which is opened for appending on first use."""
+        if name not in self.descriptors:
             flags = os.O_WRONLY | os.O_CREAT | os.O_APPEND | os.O_CLOEXEC
-            self.open[name] = os.open(self.folder / name, flags, 0o644)
-        return self.open[name]
+            self.descriptors[name] = os.open(self.folder / name, flags, 0o644)
+        return self.descriptors[name]
 
     def append(self, name: str, data: bytes) -> None:
         descriptor, left = self.descriptor(name), memoryview(data)
-        while left:  # a short write is no error yet: the next says why
+        while left:  # after a short write, the next write raises the error
             left = left[os.write(descriptor, left) :]
 
     def truncate(self, name: str, size: int) -> None:
@@ -80,17 +85,17 @@
     def sync(self, name: str) -> None:
         os.fdatasync(self.descriptor(name))
 
-    def forget(self, name: str) -> None:
-        descriptor = self.open.pop(name, None)
+    def close_descriptor(self, name: str) -> None:
+        descriptor = self.descriptors.pop(name, None)
         if descriptor is not None:
             os.close(descriptor)
 
     def rename(self, old: str, new: str) -> None:
-        self.forget(old)
+        self.close_descriptor(old)
         os.rename(self.folder / old, self.folder / new)
 
     def remove(self, name: str) -> None:
-        self.forget(name)
+        self.close_descriptor(name)
         os.unlink(self.folder / name)
 
     def sync_directory(self) -> None:
@@ -101,8 +106,8 @@
             os.close(descriptor)
 
     def close(self) -> None:
-        for name in list(self.open):
-            self.forget(name)
+        for name in list(self.descriptors):
+            self.close_descriptor(name)
         if self.lock is not None:
             os.close(self.lock)
             self.lock = None
--- a/heathford/store/format.py
+++ b/heathford/store/format.py
@@ -1,8 +1,8 @@
-"""The store's bytes, both ways; no I/O. docs/design/store.md has them one by one.
+"""Encoding and decoding of the store's records, snapshots and file headers; no I/O.
 
-All numbers are little endian. A record is one atomic batch of changes. Each record says up to which one all
-were on disk when it was written: so a bad record is known to be lost (a later one proves that it was
-acknowledged) or torn (nothing does).
+docs/design/store.md specifies the format. All numbers are little endian. A record is one atomic batch of
+changes. Each record also has the last sequence that was durable when it was written. So an unreadable record
+is known to be lost if a later one proves that it had been acknowledged, and otherwise counts as torn.
 """
 
 import struct
@@ -11,140 +11,161 @@
 
 from google_crc32c import value as crc32c
 
-VERSION, BEFORE = 2, 1  # of the format: version 1 knows no expiry
-LOG, SNAPSHOT = b"HFSTORE\0", b"HFSNAP\0\0"
-HEADER = struct.Struct("<8sHHQQI")  # magic, version, flags, first (or last) sequence, records, crc of these
-FRAME = struct.Struct("<IIQQd")  # length of the payload, crc of all that follows, sequence, durable, time
-CHANGE = struct.Struct("<BBHI")  # kind, length of namespace, of key, of value
-EXPIRY = struct.Struct("<d")  # s of store time, after the change's head, where the kind has one
-PUT, DELETE, PUT_UNTIL = 1, 2, 3
-MOST = 64 << 20  # bytes of one record: beyond it a length is nonsense, and memory would be taken for it
-
-LOG_FORM, SNAPSHOT_FORM, NEW_FORM = "log-{:016x}-{:08x}.seg", "snap-{:016x}.snap", "snap-{:016x}.new"
+VERSION, PREVIOUS_VERSION = 2, 1  # of the format: version 1 has no expiry times
+LOG_MAGIC, SNAPSHOT_MAGIC = b"HFSTORE\0", b"HFSNAP\0\0"
+# Magic, version, flags, first sequence (of a segment) or last (of a snapshot), number of records, CRC-32C.
+HEADER = struct.Struct("<8sHHQQI")
+# Length of the payload, CRC-32C of that length and of all that follows, sequence, durable sequence, time.
+FRAME = struct.Struct("<IIQQd")
+CHANGE = struct.Struct("<BBHI")  # kind, then the lengths of namespace, key and value
+EXPIRY = struct.Struct("<d")  # seconds of store time; follows CHANGE in a PUT_UNTIL
+PUT, DELETE, PUT_UNTIL = 1, 2, 3  # kinds of changes
+# A greater length is taken for corruption, so that no memory is allocated for it.
+MAX_RECORD_BYTES = 64 << 20
+
+LOG_NAME_FORMAT, SNAPSHOT_NAME_FORMAT, NEW_SNAPSHOT_NAME_FORMAT = (
+    "log-{:016x}-{:08x}.seg",
+    "snap-{:016x}.snap",
+    "snap-{:016x}.new",
+)
 
 
 class FormatError(Exception):
-    """Bytes that are no record, snapshot or header."""
+    """Data that is no valid record, snapshot or header, or that can't be encoded as one."""
 
 
 @dataclass(frozen=True)
 class Change:
-    """value: None deletes; until: s of store time at which it is gone, or None."""
+    """A put, or a delete if `value` is None.
+
+    `space` is the namespace of the key; `expires_at` is in seconds of store time, None for an entry that does
+    not expire.
+    """
 
     space: str
     key: bytes
     value: bytes | None
-    until: float | None = None
+    expires_at: float | None = None
 
 
 @dataclass(frozen=True)
 class Record:
+    """One atomic batch of changes, as the log has it."""
+
     sequence: int
-    durable: int  # the last sequence known to be on disk when this was written
-    time: float  # of the store, s
+    durable_sequence: int  # the last sequence known to be on disk when this record was written
+    time: float  # store time, s
     changes: tuple[Change, ...]
 
 
 def encode_changes(changes: Sequence[Change], version: int = VERSION) -> bytes:
+    """Return the payload of a record; raises FormatError for a change that the format can't hold."""
     parts = []
     for change in changes:
         space, value = change.space.encode(), change.value or b""
-        kind = DELETE if change.value is None else PUT if change.until is None else PUT_UNTIL
-        if kind == PUT_UNTIL and version == BEFORE:
-            raise FormatError("version 1 knows no expiry")
-        if len(space) > 255 or len(change.key) > 65_535 or len(value) > MOST:
-            raise FormatError("a name, key or value too long")
+        kind = DELETE if change.value is None else PUT if change.expires_at is None else PUT_UNTIL
+        if kind == PUT_UNTIL and version == PREVIOUS_VERSION:
+            raise FormatError("format version 1 has no expiry times")
+        if len(space) > 255 or len(change.key) > 65_535 or len(value) > MAX_RECORD_BYTES:
+            raise FormatError("namespace, key or value is too long")
         parts.append(CHANGE.pack(kind, len(space), len(change.key), len(value)))
-        if change.until is not None and kind == PUT_UNTIL:
-            parts.append(EXPIRY.pack(change.until))
+        if change.expires_at is not None and kind == PUT_UNTIL:
+            parts.append(EXPIRY.pack(change.expires_at))
         parts += [space, change.key, value]
     return b"".join(parts)
 
 
 def decode_changes(data: bytes) -> tuple[Change, ...]:
-    found, at = [], 0
+    """Return the changes of a record's payload; raises FormatError."""
+    changes, at = [], 0
     try:
         while at < len(data):
             kind, space_size, key_size, value_size = CHANGE.unpack_from(data, at)
             at += CHANGE.size
-            until = None
+            expires_at = None
             if kind == PUT_UNTIL:
-                until = EXPIRY.unpack_from(data, at)[0]
+                expires_at = EXPIRY.unpack_from(data, at)[0]
                 at += EXPIRY.size
             elif kind not in (PUT, DELETE):
-                raise FormatError(f"a change of kind {kind}")
+                raise FormatError(f"unknown kind of change: {kind}")
             end = at + space_size + key_size + value_size
             if end > len(data):
-                raise FormatError("a change cut off")
+                raise FormatError("change is truncated")
             space = data[at : at + space_size].decode()
             key = data[at + space_size : at + space_size + key_size]
             value = None if kind == DELETE else data[end - value_size : end]
-            found.append(Change(space, key, value, until))
+            changes.append(Change(space, key, value, expires_at))
             at = end
     except (struct.error, UnicodeDecodeError) as problem:
-        raise FormatError(f"no changes: {problem}") from None
-    return tuple(found)
+        raise FormatError(f"invalid changes: {problem}") from None
+    return tuple(changes)
 
 
 def encode_record(record: Record, version: int = VERSION) -> bytes:
     payload = encode_changes(record.changes, version)
-    if len(payload) > MOST:
-        raise FormatError(f"a batch of {len(payload)} bytes; allowed are {MOST}")
-    return frame(payload, record.sequence, record.durable, record.time)
+    if len(payload) > MAX_RECORD_BYTES:
+        raise FormatError(f"batch has {len(payload)} bytes; the maximum is {MAX_RECORD_BYTES}")
+    return encode_frame(payload, record.sequence, record.durable_sequence, record.time)
+
 
+def encode_frame(payload: bytes, sequence: int, durable_sequence: int, time: float) -> bytes:
+    """Return a record with the payload, its lengths, sequences and checksum."""
+    head = FRAME.pack(len(payload), 0, sequence, durable_sequence, time)
+    # The checksum covers the length too, so that a bit flip in it can't make another record pass as valid.
+    checksum = int(crc32c(head[:4] + head[8:] + payload))
+    return head[:4] + checksum.to_bytes(4, "little") + head[8:] + payload
 
-def frame(payload: bytes, sequence: int, durable: int, time: float) -> bytes:
-    head = FRAME.pack(len(payload), 0, sequence, durable, time)
-    # The length is under the checksum too: one bit of it flipped must not pass for another record.
-    check = int(crc32c(head[:4] + head[8:] + payload))
-    return head[:4] + check.to_bytes(4, "little") + head[8:] + payload
 
+def encode_header(magic: bytes, sequence: int, records: int = 0, version: int = VERSION) -> bytes:
+    """Return the header of a segment or a snapshot.
 
-def header(magic: bytes, sequence: int, records: int = 0, version: int = VERSION) -> bytes:
-    """Of a segment: its first sequence; of a snapshot: the last that it covers, and how many records."""
+    `sequence` is the first of a segment, or the last that a snapshot covers.
+    """
     head = HEADER.pack(magic, version, 0, sequence, records, 0)
     return head[:-4] + int(crc32c(head[:-4])).to_bytes(4, "little")
 
 
 def read_header(data: bytes, magic: bytes) -> tuple[int, int, int]:
-    """Version, sequence, records; raises FormatError."""
+    """Return version, sequence and number of records of a header; raises FormatError."""
     if len(data) < HEADER.size:
-        raise FormatError("a header cut off")
-    found, version, _, sequence, records, check = HEADER.unpack_from(data)
-    if found != magic:
-        raise FormatError("another kind of file")
-    if crc32c(data[: HEADER.size - 4]) != check:
-        raise FormatError("a header that does not match its checksum")
-    if version not in (VERSION, BEFORE):
-        raise FormatError(f"format version {version}; read are {VERSION} and {BEFORE}")
+        raise FormatError("header is truncated")
+    found_magic, version, _, sequence, records, checksum = HEADER.unpack_from(data)
+    if found_magic != magic:
+        raise FormatError("file is of another kind")
+    if crc32c(data[: HEADER.size - 4]) != checksum:
+        raise FormatError("header does not match its checksum")
+    if version not in (VERSION, PREVIOUS_VERSION):
+        raise FormatError(
+            f"format version {version} is not supported; supported are {VERSION} and {PREVIOUS_VERSION}"
+        )
     return version, sequence, records
 
 
-def record_at(data: bytes, at: int) -> tuple[Record, int] | None:
-    """The whole record there, and where the next begins; None where there is none."""
+def read_record(data: bytes, at: int) -> tuple[Record, int] | None:
+    """Return the record at an offset and the offset of the next; None if no valid record starts there."""
     if at + FRAME.size > len(data):
         return None
-    size, check, sequence, durable, time = FRAME.unpack_from(data, at)
+    size, checksum, sequence, durable_sequence, time = FRAME.unpack_from(data, at)
     end = at + FRAME.size + size
-    if size > MOST or end > len(data):
+    if size > MAX_RECORD_BYTES or end > len(data):
         return None
-    if crc32c(data[at : at + 4] + data[at + 8 : end]) != check:
+    if crc32c(data[at : at + 4] + data[at + 8 : end]) != checksum:
         return None
     try:
-        return Record(sequence, durable, time, decode_changes(data[at + FRAME.size : end])), end
+        return Record(sequence, durable_sequence, time, decode_changes(data[at + FRAME.size : end])), end
     except FormatError:
         return None
 
 
-def proof_after(data: bytes, at: int, lost: int) -> Record | None:
-    """A whole record somewhere beyond `at` which proves that the one of sequence `lost` was on disk.
+def find_durability_proof(data: bytes, at: int, lost: int) -> Record | None:
+    """Return a valid record at or after offset `at` which proves that record `lost` was on disk, or None.
 
-    Looks at every byte: what stands between is broken, so nothing says where a record begins.
+    Tries every offset, because the data in between is corrupt and does not tell where a record starts.
     """
-    for place in range(at, len(data) - FRAME.size + 1):
-        size, _, sequence, durable, _ = FRAME.unpack_from(data, place)
-        if size <= len(data) - place - FRAME.size and sequence > lost <= durable < sequence:
-            found = record_at(data, place)
+    for offset in range(at, len(data) - FRAME.size + 1):
+        size, _, sequence, durable_sequence, _ = FRAME.unpack_from(data, offset)
+        if size <= len(data) - offset - FRAME.size and sequence > lost <= durable_sequence < sequence:
+            found = read_record(data, offset)
             if found:
                 return found[0]
     return None
--- a/heathford/store/journal.py
+++ b/heathford/store/journal.py
@@ -1,9 +1,11 @@
-"""Log, snapshots and recovery on a file system, step by step; no threads, no clock.
+"""Write-ahead log, snapshots and recovery on a file system; no threads, no clock.
 
-What holds at any crash: each acknowledged record is in a whole segment or covered by a whole snapshot. A
-segment gets its name, header and all that it supersedes on disk before any record of it is acknowledged; it
-supersedes all that earlier ones have from its first sequence on. So what a failed sync left behind is never
-read again, and recovery changes nothing but by beginning another segment: it may crash as often as it likes.
+Invariant at any crash: each acknowledged record is in a valid segment or covered by a valid snapshot.
+
+A segment supersedes all records of earlier segments from its own first sequence on. Its name, its header and
+the records that it supersedes and repeats are on disk before any new record of it is acknowledged. So data
+that a failed sync left behind is never read again. Recovery writes nothing but a new segment, so it may
+itself crash any number of times.
 """
 
 import errno
@@ -11,74 +13,78 @@
 from collections.abc import Iterator, Sequence
 from dataclasses import dataclass, field
 
-from heathford.store.decisions import PART, Trouble, droppable, seals
+from heathford.store.decisions import SNAPSHOT_PART_BYTES, DiskFailure, find_obsolete, is_segment_full
 from heathford.store.files import Files
 from heathford.store.format import (
     HEADER,
-    LOG,
-    LOG_FORM,
-    NEW_FORM,
-    SNAPSHOT,
-    SNAPSHOT_FORM,
+    LOG_MAGIC,
+    LOG_NAME_FORMAT,
+    NEW_SNAPSHOT_NAME_FORMAT,
+    SNAPSHOT_MAGIC,
+    SNAPSHOT_NAME_FORMAT,
     Change,
     FormatError,
     Record,
     encode_changes,
     encode_record,
-    frame,
-    header,
-    proof_after,
+    encode_frame,
+    encode_header,
+    find_durability_proof,
     read_header,
-    record_at,
+    read_record,
 )
 from heathford.store.views import ViewBuilder, View
 
 
 class JournalError(Exception):
-    """A write that is not on disk; nothing of it is held to be."""
+    """A write failed; nothing of it counts as durable."""
 
-    def __init__(self, trouble: Trouble, why: str) -> None:
-        super().__init__(f"{trouble.value}: {why}")
-        self.trouble, self.why = trouble, why
+    def __init__(self, failure: DiskFailure, reason: str) -> None:
+        super().__init__(f"{failure.value}: {reason}")
+        self.failure, self.reason = failure, reason
 
 
 class DamageError(Exception):
-    """Something that was on disk can't be read any more."""
+    """Records that were durable can no longer be read."""
 
 
 @dataclass(frozen=True)
 class Segment:
-    first: int
-    generation: int  # in the order in which they were begun
+    """A log file."""
+
+    first_sequence: int
+    generation: int  # rises by one with each segment that is started
 
     @property
     def name(self) -> str:
-        return LOG_FORM.format(self.first, self.generation)
+        return LOG_NAME_FORMAT.format(self.first_sequence, self.generation)
 
 
 @dataclass
 class RecoveryResult:
-    """What recovery saw."""
+    """Content and state of the files, as recovery read them."""
 
     view_builder: ViewBuilder = field(default_factory=ViewBuilder)
-    proven: int = 0  # the last sequence that was on disk for certain
-    tail: list[Record] = field(default_factory=list)  # what follows: whole, but perhaps only in memory
+    proven_sequence: int = 0  # the last sequence that is known to be on disk
+    tail: list[Record] = field(default_factory=list)  # valid records after it, perhaps only in the page cache
     segments: list[Segment] = field(default_factory=list)
-    snapshots: list[int] = field(default_factory=list)  # whole ones, by the last sequence that they cover
-    torn: list[str] = field(default_factory=list)  # never acknowledged, and not read
-    damage: list[str] = field(default_factory=list)  # what is lost
-    covered: list[str] = field(default_factory=list)  # broken, but a snapshot or another file has it
-    generation: int = 0
-    versions: dict[str, int] = field(default_factory=dict)  # formats, by file
-
-    def take(self, record: Record) -> None:
-        self.view_builder.take(record.changes, record.sequence, record.time)
+    snapshots: list[int] = field(default_factory=list)  # valid ones, by the last sequence that each covers
+    torn: list[str] = field(default_factory=list)  # unreadable ends of the log that were never acknowledged
+    damage: list[str] = field(default_factory=list)  # acknowledged data that is lost
+    covered: list[str] = field(
+        default_factory=list
+    )  # unreadable, but a snapshot or another file has the data
+    generation: int = 0  # highest that was used
+    versions: dict[str, int] = field(default_factory=dict)  # format versions, by file name
+
+    def add_record(self, record: Record) -> None:
+        self.view_builder.apply(record.changes, record.sequence, record.time)
         self.tail.append(record)
-        self.prove(record.durable)
+        self.mark_proven(record.durable_sequence)
 
-    def prove(self, sequence: int) -> None:
-        if sequence > self.proven:
-            self.proven = sequence
+    def mark_proven(self, sequence: int) -> None:
+        if sequence > self.proven_sequence:
+            self.proven_sequence = sequence
             self.tail = [r for r in self.tail if r.sequence > sequence]
 
 
@@ -102,167 +108,178 @@
 
 
 def read_snapshot(data: bytes) -> ViewBuilder:
-    """Raises FormatError unless it is whole."""
-    _, sequence, _ = read_header(data, SNAPSHOT)
-    grown, at, count = ViewBuilder(), HEADER.size, 0
+    """Decode a snapshot; raises FormatError if any part of it is missing or invalid."""
+    _, sequence, _ = read_header(data, SNAPSHOT_MAGIC)
+    builder, at, count = ViewBuilder(), HEADER.size, 0
     while True:
-        found = record_at(data, at)
+        found = read_record(data, at)
         if found is None:
-            raise FormatError(f"broken at byte {at}")
+            raise FormatError(f"invalid record at byte {at}")
         record, at = found
         count += 1
-        if record.sequence != count or record.durable != sequence:
-            raise FormatError("parts out of order")
-        grown.take(record.changes, sequence, record.time)
-        if not record.changes:  # the last: an empty part after at least none
+        if record.sequence != count or record.durable_sequence != sequence:
+            raise FormatError("parts are out of order")
+        builder.apply(record.changes, sequence, record.time)
+        if not record.changes:  # an empty part ends the snapshot
             break
     if at != len(data):
-        raise FormatError("bytes after its end")
-    return grown
+        raise FormatError("data after the last part")
+    return builder
 
 
 def recover(files: Files) -> RecoveryResult:
-    """Reads all that is there; raises OSError where that fails. Changes nothing."""
-    found, names = RecoveryResult(), files.names()
-    covers = sorted((n for n in map(parse_snapshot_name, names) if n is not None), reverse=True)
-    for last in covers:
-        name = SNAPSHOT_FORM.format(last)
+    """Read the newest valid snapshot and the log after it; changes no file. Raises OSError."""
+    recovered, names = RecoveryResult(), files.names()
+    covered_sequences = sorted((n for n in map(parse_snapshot_name, names) if n is not None), reverse=True)
+    for last in covered_sequences:
+        name = SNAPSHOT_NAME_FORMAT.format(last)
         try:
             data = files.read(name)
-            grown = read_snapshot(data)
-            found.versions[name] = read_header(data, SNAPSHOT)[0]
+            builder = read_snapshot(data)
+            recovered.versions[name] = read_header(data, SNAPSHOT_MAGIC)[0]
         except FormatError as problem:
-            found.covered.append(f"{name}: {problem}")
+            recovered.covered.append(f"{name}: {problem}")
             continue
-        if not found.snapshots:
-            found.view_builder, found.proven = grown, last
-        found.snapshots.append(last)
+        if not recovered.snapshots:
+            recovered.view_builder, recovered.proven_sequence = builder, last
+        recovered.snapshots.append(last)
     segments = sorted((s for s in map(parse_segment_name, names) if s), key=lambda s: s.generation)
-    # Half written ones count too: a name is never used twice, or its old bytes would come before the new.
-    begun = [parse_segment_name(n.removesuffix(".new") + ".seg") for n in names if n.endswith(".new")]
-    found.generation = max((s.generation for s in [*segments, *begun] if s), default=0)
-    for place, segment in enumerate(segments):
-        limit = min((s.first for s in segments[place + 1 :]), default=None)
-        replay(files.read(segment.name), segment, None if limit is None else limit - 1, found)
-        if limit is not None and not found.damage:
-            found.prove(
-                min(limit - 1, found.view_builder.sequence)
-            )  # it was on disk before the next was begun
-    return found
-
-
-def replay(data: bytes, segment: Segment, limit: int | None, found: RecoveryResult) -> None:
-    """Applies what a segment holds beyond the view; limit: its last sequence that counts, None for the
-    newest segment."""
+    # Partly written segments count too: reusing a name would put its old bytes before the new ones.
+    partly_written = [
+        parse_segment_name(n.removesuffix(".new") + ".seg") for n in names if n.endswith(".new")
+    ]
+    recovered.generation = max((s.generation for s in [*segments, *partly_written] if s), default=0)
+    for index, segment in enumerate(segments):
+        limit = min((s.first_sequence for s in segments[index + 1 :]), default=None)
+        replay(files.read(segment.name), segment, None if limit is None else limit - 1, recovered)
+        if limit is not None and not recovered.damage:
+            # A segment is on disk before the next one is started.
+            recovered.mark_proven(min(limit - 1, recovered.view_builder.sequence))
+    return recovered
+
+
+def replay(data: bytes, segment: Segment, limit: int | None, recovered: RecoveryResult) -> None:
+    """Apply the records of a segment that are newer than the view.
+
+    `limit` is the last sequence of the segment that no later segment supersedes; None for the newest segment.
+    """
     name = segment.name
-    if limit is not None and limit < segment.first:
-        found.segments.append(segment)
-        return  # superseded as a whole
-    if segment.first > found.view_builder.sequence + 1:
-        found.damage.append(f"{name}: what comes before record {segment.first} is missing")
+    if limit is not None and limit < segment.first_sequence:
+        recovered.segments.append(segment)
+        return  # all of its records are superseded
+    if segment.first_sequence > recovered.view_builder.sequence + 1:
+        recovered.damage.append(f"{name}: what comes before record {segment.first_sequence} is missing")
         return
     try:
-        version, first, _ = read_header(data, LOG)
-        if first != segment.first:
-            raise FormatError("another segment's header")
+        version, first, _ = read_header(data, LOG_MAGIC)
+        if first != segment.first_sequence:
+            raise FormatError("header is of another segment")
     except FormatError as problem:
-        if limit is None and proof_after(data, 0, segment.first) is None:
-            found.torn.append(f"{name}: {problem}")
-        elif limit is not None and limit <= found.view_builder.sequence:
-            found.covered.append(f"{name}: {problem}")
+        if limit is None and find_durability_proof(data, 0, segment.first_sequence) is None:
+            recovered.torn.append(f"{name}: {problem}")
+        elif limit is not None and limit <= recovered.view_builder.sequence:
+            recovered.covered.append(f"{name}: {problem}")
         else:
-            found.damage.append(f"{name}: {problem}")
+            recovered.damage.append(f"{name}: {problem}")
         return
-    found.versions[name] = version
-    found.segments.append(segment)
-    at, last = HEADER.size, segment.first - 1
+    recovered.versions[name] = version
+    recovered.segments.append(segment)
+    at, last = HEADER.size, segment.first_sequence - 1
     while limit is None or last < limit:
-        whole = record_at(data, at)
-        if whole is None:
+        found = read_record(data, at)
+        if found is None:
             if limit is None and at == len(data):
-                return  # its end
-            again = next_whole(data, at + 1, last) if at < len(data) else None
-            if again is not None and again[0].sequence - 1 <= found.view_builder.sequence:
-                found.covered.append(f"{name}: broken at byte {at}")
-                whole = again  # what is broken, the snapshot has
-            elif limit is not None and limit <= found.view_builder.sequence:
-                found.covered.append(f"{name}: broken at byte {at}")
+                return  # end of the log
+            next_found = find_next_record(data, at + 1, last) if at < len(data) else None
+            if next_found is not None and next_found[0].sequence - 1 <= recovered.view_builder.sequence:
+                recovered.covered.append(f"{name}: broken at byte {at}")
+                found = next_found  # the snapshot has what is unreadable
+            elif limit is not None and limit <= recovered.view_builder.sequence:
+                recovered.covered.append(f"{name}: broken at byte {at}")
                 return
-            elif limit is None and proof_after(data, at, last + 1) is None:
-                found.torn.append(f"{name}: from byte {at} of {len(data)}")
+            elif limit is None and find_durability_proof(data, at, last + 1) is None:
+                recovered.torn.append(f"{name}: from byte {at} of {len(data)}")
                 return
             else:
-                found.damage.append(f"{name}: record {last + 1} at byte {at} is lost")
+                recovered.damage.append(f"{name}: record {last + 1} at byte {at} is lost")
                 return
-        record, at = whole
-        if record.sequence > last + 1 and record.sequence - 1 > found.view_builder.sequence:
-            found.damage.append(f"{name}: record {last + 1} is missing before {record.sequence}")
+        record, at = found
+        if record.sequence > last + 1 and record.sequence - 1 > recovered.view_builder.sequence:
+            recovered.damage.append(f"{name}: record {last + 1} is missing before {record.sequence}")
             return
         last = record.sequence
         if limit is not None and last > limit:
             return
-        if last == found.view_builder.sequence + 1:
-            found.take(record)
-        elif last > found.view_builder.sequence:
-            found.damage.append(f"{name}: record {found.view_builder.sequence + 1} is missing before {last}")
+        if last == recovered.view_builder.sequence + 1:
+            recovered.add_record(record)
+        elif last > recovered.view_builder.sequence:
+            recovered.damage.append(
+                f"{name}: record {recovered.view_builder.sequence + 1} is missing before {last}"
+            )
             return
 
 
-def next_whole(data: bytes, at: int, last: int) -> tuple[Record, int] | None:
-    """The next whole record of a later sequence, wherever it begins."""
-    for place in range(at, len(data) - HEADER.size // 2):
-        found = record_at(data, place)
+def find_next_record(data: bytes, at: int, last: int) -> tuple[Record, int] | None:
+    """Return the next valid record of a sequence after `last`, and its end, trying every offset."""
+    for offset in range(at, len(data) - HEADER.size // 2):
+        found = read_record(data, offset)
         if found and found[0].sequence > last:
             return found
     return None
 
 
 class Journal:
-    """The store's files, as one process writes them, and `view`, their content as recover() found it.
+    """Writes the store's files for one process; `view` is their content as recover() read it.
 
-    Guards against records that were read from memory's copy of a file and never reached the disk, as after
-    a sync that failed under a process that was then killed: what nothing proves to be on disk is written
-    once more, to a segment of its own, before anything that follows it.
+    After a failed sync in a process that was then killed, recovery may read records from the page cache that
+    never reached the disk. Records that nothing proves to be on disk are therefore written again, to a
+    segment of their own, before any new record.
     """
 
-    def __init__(self, files: Files, found: RecoveryResult) -> None:
-        if found.damage:
-            raise DamageError("; ".join(found.damage))
+    def __init__(self, files: Files, recovered: RecoveryResult) -> None:
+        if recovered.damage:
+            raise DamageError("; ".join(recovered.damage))
         self.files = files
-        self.view = found.view_builder.build()
-        self.snapshots, self.segments = sorted(found.snapshots), list(found.segments)
-        self.generation = found.generation
-        self.durable, self.tail = found.proven, list(found.tail)
+        self.view = recovered.view_builder.build()
+        self.snapshots, self.segments = sorted(recovered.snapshots), list(recovered.segments)
+        self.generation = recovered.generation
+        self.durable_sequence, self.tail = recovered.proven_sequence, list(recovered.tail)
         self.time = self.view.time
-        self.segment: Segment | None = None  # that is written to
-        self.size = 0  # of it, bytes
-        self.log = 0  # bytes since the last snapshot was begun
-        self.snapshot_size = 0
-        self.guard = threading.Lock()  # of the two lists: a snapshot is written beside the log
+        self.segment: Segment | None = None  # the one that is written to
+        self.segment_bytes = 0  # written to it
+        self.log_bytes = 0  # written since the last snapshot was started
+        self.snapshot_bytes = 0  # size of the last snapshot
+        # Guards `snapshots` and `segments`: a snapshot is written in another thread than the log.
+        self.lock = threading.Lock()
         for segment in self.segments:
-            if not self.snapshots or segment.first > self.snapshots[-1]:
-                self.log += files.size(segment.name)
+            if not self.snapshots or segment.first_sequence > self.snapshots[-1]:
+                self.log_bytes += files.size(segment.name)
         if self.snapshots:
-            self.snapshot_size = files.size(SNAPSHOT_FORM.format(self.snapshots[-1]))
+            self.snapshot_bytes = files.size(SNAPSHOT_NAME_FORMAT.format(self.snapshots[-1]))
 
     def persist_recovered(self) -> None:
-        """Puts what was found on disk for certain. Guards against what readers have seen vanishing again, and
-        against a name lost by which a write that failed was superseded: it would come back. Raises
-        JournalError."""
+        """Make the recovered content durable; raises JournalError.
+
+        Otherwise records that readers have seen could vanish in the next crash. Also, the file name of a
+        segment that superseded a failed write could be lost, and the failed write would come back.
+        """
         try:
             self.files.sync_directory()
         except OSError as problem:
-            raise failure(problem, Trouble.SYNC) from None
+            raise to_journal_error(problem, DiskFailure.SYNC) from None
         if self.tail:
-            self.begin_segment()
+            self.start_segment()
+
+    def start_segment(self) -> None:
+        """Start a new segment, with the tail that it supersedes; raises JournalError.
 
-    def begin_segment(self) -> None:
-        """It gets its name with all that it supersedes in it and on disk. Guards against a crash between, by
-        which what was acknowledged would be superseded by nothing."""
+        The segment gets its final name once its content is on disk. Otherwise a crash in between could leave
+        a segment that supersedes acknowledged records without holding them.
+        """
         self.generation += 1
-        segment = Segment(self.durable + 1, self.generation)
+        segment = Segment(self.durable_sequence + 1, self.generation)
         entries = [(record.changes, record.time) for record in self.tail]
-        data = header(LOG, segment.first) + self.encoded(entries)
+        data = encode_header(LOG_MAGIC, segment.first_sequence) + self.encode_batches(entries)
         new = segment.name.removesuffix(".seg") + ".new"
         try:
             self.files.append(new, data)
@@ -270,118 +287,130 @@
             self.files.rename(new, segment.name)
             self.files.sync_directory()
         except OSError as problem:
-            raise failure(problem, Trouble.SYNC) from None
-        with self.guard:
+            raise to_journal_error(problem, DiskFailure.SYNC) from None
+        with self.lock:
             self.segments.append(segment)
-        self.segment, self.size = segment, len(data)
-        self.durable += len(self.tail)
+        self.segment, self.segment_bytes = segment, len(data)
+        self.durable_sequence += len(self.tail)
         self.tail = []
 
-    def encoded(self, batches: Sequence[tuple[tuple[Change, ...], float]]) -> bytes:
-        """Records that follow the last on disk."""
+    def encode_batches(self, batches: Sequence[tuple[tuple[Change, ...], float]]) -> bytes:
+        """Encode batches as the records that follow the last durable one."""
         parts = []
-        for place, (changes, time) in enumerate(batches):
+        for index, (changes, time) in enumerate(batches):
             self.time = max(self.time, time)
-            parts.append(encode_record(Record(self.durable + 1 + place, self.durable, self.time, changes)))
+            parts.append(
+                encode_record(
+                    Record(self.durable_sequence + 1 + index, self.durable_sequence, self.time, changes)
+                )
+            )
         return b"".join(parts)
 
     def write(self, batches: Sequence[tuple[tuple[Change, ...], float]]) -> None:
-        """Each batch with its time becomes a record; all are on disk once this returns. Raises JournalError:
-        none is held to be, and what comes next is written to another segment."""
-        if self.segment is not None and seals(self.size):
+        """Write each batch, with its store time, as a record; all are on disk when this returns.
+
+        After a JournalError none of them counts as durable, and the next write starts a new segment.
+        """
+        if self.segment is not None and is_segment_full(self.segment_bytes):
             self.segment = None
         if self.segment is None:
-            self.begin_segment()
+            self.start_segment()
         assert self.segment
-        data = self.encoded(batches)
-        trouble = Trouble.WRITE
+        data = self.encode_batches(batches)
+        failure = DiskFailure.WRITE
         try:
             self.files.append(self.segment.name, data)
-            trouble = Trouble.SYNC
+            failure = DiskFailure.SYNC
             self.files.sync(self.segment.name)
         except OSError as problem:
-            self.segment = None  # what became of its pages nobody knows: it is never written to again
-            raise failure(problem, trouble) from None
-        self.size += len(data)
-        self.log += len(data)
-        self.durable += len(batches)
+            self.segment = None  # the state of its pages is unknown: it is never written to again
+            raise to_journal_error(problem, failure) from None
+        self.segment_bytes += len(data)
+        self.log_bytes += len(data)
+        self.durable_sequence += len(batches)
 
     def snapshot(self, view: View) -> Iterator[int]:
-        """Writes one of a durable view, then drops what it makes needless; yields the bytes written so far
-        between steps. Raises JournalError: what it had written is left, and overwritten by the next."""
-        new, name = NEW_FORM.format(view.sequence), SNAPSHOT_FORM.format(view.sequence)
-        covered, self.log = self.log, 0
+        """Write a snapshot of a durable view, then remove the files that it makes obsolete.
+
+        Yields the number of bytes written so far between the steps. After a JournalError a partial file is
+        left, which the next snapshot overwrites.
+        """
+        new, name = NEW_SNAPSHOT_NAME_FORMAT.format(view.sequence), SNAPSHOT_NAME_FORMAT.format(view.sequence)
+        covered_log_bytes, self.log_bytes = self.log_bytes, 0
         try:
             if new in self.files.names():
                 self.files.remove(new)
-            self.files.append(new, header(SNAPSHOT, view.sequence))
+            self.files.append(new, encode_header(SNAPSHOT_MAGIC, view.sequence))
             written = 0
-            for part in parts_of(view):
+            for part in encode_snapshot_parts(view):
                 self.files.append(new, part)
                 written += len(part)
                 yield written
             self.files.sync(new)
             yield written
-            # Guards against a bad page: it must be read back whole before the log that it covers goes.
-            again = read_snapshot(self.files.read(new))
-            if again.sequence != view.sequence or sum(map(len, again.spaces.values())) != len(view):
-                raise JournalError(Trouble.WRITE, f"{new} was read back otherwise than written")
+            # Reads the snapshot back before the log that it covers is removed, in case a page is bad.
+            reread = read_snapshot(self.files.read(new))
+            if reread.sequence != view.sequence or sum(map(len, reread.spaces.values())) != len(view):
+                raise JournalError(DiskFailure.WRITE, f"{new} differs from what was written when read back")
             self.files.rename(new, name)
             self.files.sync_directory()
             yield written
-            with self.guard:
+            with self.lock:
                 if view.sequence not in self.snapshots:
                     self.snapshots.append(view.sequence)
-            self.snapshot_size = written
-            yield from self.drop()
+            self.snapshot_bytes = written
+            yield from self.remove_obsolete()
         except FormatError as problem:
-            self.log += covered
-            raise JournalError(Trouble.WRITE, f"{new}: {problem}") from None
+            self.log_bytes += covered_log_bytes
+            raise JournalError(DiskFailure.WRITE, f"{new}: {problem}") from None
         except OSError as problem:
-            self.log += covered
-            raise failure(problem, Trouble.WRITE) from None
-
-    def drop(self) -> Iterator[int]:
-        """Removes what two snapshots make needless; log first, so that a crash leaves too much."""
-        with self.guard:
-            old, places = droppable(self.snapshots, [s.first for s in self.segments])
-            gone = [self.segments[place] for place in places]
-        for segment in gone:
+            self.log_bytes += covered_log_bytes
+            raise to_journal_error(problem, DiskFailure.WRITE) from None
+
+    def remove_obsolete(self) -> Iterator[int]:
+        """Remove obsolete segments, then obsolete snapshots, so that a crash leaves rather too many files."""
+        with self.lock:
+            obsolete_snapshots, indexes = find_obsolete(
+                self.snapshots, [s.first_sequence for s in self.segments]
+            )
+            obsolete_segments = [self.segments[index] for index in indexes]
+        for segment in obsolete_segments:
             self.files.remove(segment.name)
-            with self.guard:
+            with self.lock:
                 self.segments.remove(segment)
             yield 0
-        for last in old:
-            self.files.remove(SNAPSHOT_FORM.format(last))
-            with self.guard:
+        for last in obsolete_snapshots:
+            self.files.remove(SNAPSHOT_NAME_FORMAT.format(last))
+            with self.lock:
                 self.snapshots.remove(last)
             yield 0
-        # What a crash left half written, under no name that counts.
+        # Partly written segments that a crash partial; recovery does not read them.
         for name in self.files.names():
             if name.startswith("log-") and name.endswith(".new"):
-                left = parse_segment_name(name.removesuffix(".new") + ".seg")
-                if left and left.generation < self.generation:
+                partial = parse_segment_name(name.removesuffix(".new") + ".seg")
+                if partial and partial.generation < self.generation:
                     self.files.remove(name)
-        if gone or old:
+        if obsolete_segments or obsolete_snapshots:
             self.files.sync_directory()
 
 
-def parts_of(view: View) -> Iterator[bytes]:
-    """A snapshot's parts: puts in order, then an empty one."""
-    count, held, size = 0, list[Change](), 0
-    for space, key, (value, until) in view.entries():
-        held.append(Change(space, key, value, until))
+def encode_snapshot_parts(view: View) -> Iterator[bytes]:
+    """Yield the records of a snapshot: puts of all entries, then an empty record that marks its end."""
+    count, changes, size = 0, list[Change](), 0
+    for space, key, (value, expires_at) in view.entries():
+        changes.append(Change(space, key, value, expires_at))
         size += len(key) + len(value)
-        if size >= PART:
+        if size >= SNAPSHOT_PART_BYTES:
             count += 1
-            yield frame(encode_changes(held), count, view.sequence, view.time)
-            held, size = [], 0
-    if held:
+            yield encode_frame(encode_changes(changes), count, view.sequence, view.time)
+            changes, size = [], 0
+    if changes:
         count += 1
-        yield frame(encode_changes(held), count, view.sequence, view.time)
-    yield frame(b"", count + 1, view.sequence, view.time)
+        yield encode_frame(encode_changes(changes), count, view.sequence, view.time)
+    yield encode_frame(b"", count + 1, view.sequence, view.time)
 
 
-def failure(problem: OSError, trouble: Trouble) -> JournalError:
+def to_journal_error(problem: OSError, failure: DiskFailure) -> JournalError:
+    """Return the error for a failed operation, as NO_SPACE if the disk or the quota is full."""
     full = problem.errno in (errno.ENOSPC, errno.EDQUOT)
-    return JournalError(Trouble.NO_SPACE if full else trouble, problem.strerror or repr(problem))
+    return JournalError(DiskFailure.NO_SPACE if full else failure, problem.strerror or repr(problem))
--- a/heathford/store/views.py
+++ b/heathford/store/views.py
@@ -1,4 +1,4 @@
-"""The index: persistent maps, so that a view stays as it was while changes go on; no I/O."""
+"""In-memory index of the store: immutable views on persistent maps; no I/O."""
 
 from bisect import bisect_left
 from collections.abc import Iterable, Iterator
@@ -8,25 +8,25 @@
 
 from heathford.store.format import Change
 
-Entry = tuple[bytes, float | None]  # value, and s of store time until it is gone
+Entry = tuple[bytes, float | None]  # value, and the store time in s at which it expires
 EMPTY: PMap[bytes, Entry] = pmap()
 
 
 class ViewBuilder:
-    """A view in the making, at recovery: plain dicts, made persistent once all is read."""
+    """Collects records in plain dicts during recovery and builds one view from them at the end."""
 
     def __init__(self) -> None:
         self.spaces: dict[str, dict[bytes, Entry]] = {}
         self.sequence, self.time = 0, 0.0
 
-    def take(self, changes: Iterable[Change], sequence: int, time: float) -> None:
+    def apply(self, changes: Iterable[Change], sequence: int, time: float) -> None:
         self.sequence, self.time = sequence, max(self.time, time)
         for change in changes:
             space = self.spaces.setdefault(change.space, {})
             if change.value is None:
                 space.pop(change.key, None)
             else:
-                space[change.key] = (change.value, change.until)
+                space[change.key] = (change.value, change.expires_at)
 
     def build(self) -> "View":
         return View(
@@ -37,16 +37,16 @@
 
 
 class View:
-    """The store's content after one record. Making the next shares all but what changed."""
+    """Immutable content of the store after one record; the next view shares all that did not change."""
 
-    __slots__ = ("keys", "sequence", "spaces", "time")
+    __slots__ = ("ordered_keys", "sequence", "spaces", "time")
 
     def __init__(
         self, spaces: PMap[str, PMap[bytes, Entry]] | None = None, sequence: int = 0, time: float = 0.0
     ) -> None:
         self.spaces: PMap[str, PMap[bytes, Entry]] = pmap() if spaces is None else spaces
         self.sequence, self.time = sequence, time
-        self.keys: dict[str, list[bytes]] = {}  # in order, of spaces that were scanned
+        self.ordered_keys: dict[str, list[bytes]] = {}  # sorted keys of the namespaces that were scanned
 
     def with_changes(self, changes: Iterable[Change], sequence: int, time: float) -> "View":
         edited: dict[str, Any] = {}
@@ -55,59 +55,62 @@
                 edited[change.space] = self.spaces.get(change.space, EMPTY).evolver()
             space = edited[change.space]
             if change.value is not None:
-                space[change.key] = (change.value, change.until)
+                space[change.key] = (change.value, change.expires_at)
             elif change.key in space:
                 del space[change.key]
         spaces: Any = self.spaces.evolver()
         for name, space in edited.items():
-            whole = space.persistent()
-            if whole:
-                spaces[name] = whole
+            entries = space.persistent()
+            if entries:
+                spaces[name] = entries
             elif name in self.spaces:
                 del spaces[name]
         return View(spaces.persistent(), sequence, max(self.time, time))
 
     def get(self, space: str, key: bytes, now: float) -> bytes | None:
         entry = self.spaces.get(space, EMPTY).get(key)
-        return None if entry is None or is_over(entry, now) else entry[0]
+        return None if entry is None or is_expired(entry, now) else entry[0]
 
     def scan(
-        self, space: str, now: float, begin: bytes = b"", prefix: bytes = b""
+        self, space: str, now: float, start_key: bytes = b"", prefix: bytes = b""
     ) -> Iterator[tuple[bytes, bytes]]:
-        """In the order of keys, from `begin`, those with the prefix."""
+        """Yield unexpired entries whose key has the prefix, in the order of keys, from `start_key` on."""
         entries = self.spaces.get(space)
         if entries is None:
             return
-        if space not in self.keys:
-            self.keys[space] = sorted(entries)
-        keys = self.keys[space]
-        for place in range(bisect_left(keys, max(begin, prefix)), len(keys)):
-            key = keys[place]
+        if space not in self.ordered_keys:
+            self.ordered_keys[space] = sorted(entries)
+        keys = self.ordered_keys[space]
+        for index in range(bisect_left(keys, max(start_key, prefix)), len(keys)):
+            key = keys[index]
             if not key.startswith(prefix):
                 return
-            if not is_over(entries[key], now):
+            if not is_expired(entries[key], now):
                 yield key, entries[key][0]
 
     def entries(self) -> Iterator[tuple[str, bytes, Entry]]:
-        """All, in no order that means anything: to sort them would hold the loop while a snapshot begins."""
+        """Yield all entries, expired ones too, in no particular order.
+
+        Sorting them would block the event loop when a snapshot is started.
+        """
         for space in sorted(self.spaces):
             for key, entry in self.spaces[space].items():
                 yield space, key, entry
 
-    def over(self, now: float, most: int) -> list[Change]:
-        """Deletions of what has expired, at most so many."""
-        found: list[Change] = []
+    def expired_deletions(self, now: float, limit: int) -> list[Change]:
+        """Return deletions of expired entries, `limit` at most."""
+        deletions: list[Change] = []
         for space in sorted(self.spaces):
             for key, entry in self.spaces[space].items():
-                if is_over(entry, now):
-                    found.append(Change(space, key, None))
-                    if len(found) >= most:
-                        return found
-        return found
+                if is_expired(entry, now):
+                    deletions.append(Change(space, key, None))
+                    if len(deletions) >= limit:
+                        return deletions
+        return deletions
 
     def __len__(self) -> int:
         return sum(len(space) for space in self.spaces.values())
 
 
-def is_over(entry: Entry, now: float) -> bool:
+def is_expired(entry: Entry, now: float) -> bool:
     return entry[1] is not None and entry[1] <= now
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -52,7 +52,7 @@
     async def run(scene: Scene) -> None:
         served = InProcessFront(effect)
         memory = await Memory.open(folder, 60.0, serves)
-        memory.restore(served.manager.identities, asyncio.get_running_loop().time())
+        memory.restore(served.manager.idempotency_table, asyncio.get_running_loop().time())
         await memory.begin(served.core.tally)
         served.manager.memory = memory
         async with asyncio.timeout(15.0):
