--- a/benchmarks/platform_memory.py
+++ b/benchmarks/platform_memory.py
@@ -21,7 +21,7 @@
 import orjson
 
 from heathford.platform.process import run_node
-from heathford.standin.platform import EVENTS, STREAM, Agent, ScriptedEngine, chunk, settings
+from heathford.standin.platform import EVENTS, STREAM, DiscoveryAgent, ScriptedEngine, chunk, settings
 from heathford.wire.requests import Request
 
 CLIENT_SECONDS = 90.0  # that a client keeps its connection after its answer: until the node closes it
@@ -33,11 +33,11 @@
     """An engine that streams each answer over ANSWER_SECONDS, and records nothing."""
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
-        self.asked.clear()
-        if request.method == "DELETE" or self.reads:
+        self.received_requests.clear()
+        if request.method == "DELETE" or self.is_prefill:
             await super().answer(request, writer)
             self.bodies.clear()
-            self.heads.clear()
+            self.request_headers.clear()
             return
         writer.write(STREAM)
         for _ in range(int(ANSWER_SECONDS / EVENT_INTERVAL)):
@@ -92,7 +92,7 @@
     engines: list[ScriptedEngine] = [
         SlowEngine(f"s-{n}", "m0" if n % 2 else "m1", bool(n % 2)) for n in range(12)
     ]
-    agent = Agent(*engines)
+    agent = DiscoveryAgent(*engines)
     for engine in engines:
         await engine.open()
     discovery = await agent.open()
@@ -109,7 +109,7 @@
                     "limits": {"sockets": 512},
                     "settings": settings(),
                     "seed": "1",
-                    "known": orjson.loads(agent.told(True, [e.row for e in engines])),
+                    "known": orjson.loads(agent.list_message(True, [e.row for e in engines])),
                 }
             )
         )
@@ -135,7 +135,7 @@
                 stderr=asyncio.subprocess.DEVNULL,
             )
             pid = process.pid
-        await agent.until_watched()
+        await agent.wait_for_watchers()
         tasks: dict[asyncio.Task[None], None] = {}
         first_snapshot = None
         number = len(engines)
@@ -155,7 +155,7 @@
                 engines.append(new)
                 agent.engines = engines
                 old.state = "DELETED"
-                agent.say(new.row, old.row)
+                agent.send_change(new.row, old.row)
                 asyncio.get_running_loop().call_later(5.0, old.close)
             if second % 5 == 4:
                 print(f"{second + 1:4d} s  {resident_megabytes(pid):6.1f} MB", flush=True)
--- a/benchmarks/service_cost.py
+++ b/benchmarks/service_cost.py
@@ -24,7 +24,7 @@
 from heathford.client.base import Client
 from heathford.local.deployment import Deployment
 from heathford.script.script import read_script
-from heathford.standin.authority import Authority, put
+from heathford.standin.authority import Authority, write_key_files
 
 SESSIONS = 8  # clients of each front: connections that ask at once
 
@@ -71,7 +71,7 @@
 async def measure(seconds: float, rate: float, folder: Path) -> None:
     authority = Authority()
     for name, names in (("front", ("localhost",)), ("engine", tuple(f"mixed-{n}" for n in range(3)))):
-        put(folder, authority.issue(names), name)
+        write_key_files(folder, authority.issue(names), name)
     (folder / "ca.pem").write_bytes(authority.pem)
     with tarfile.open(ROOT / "tests" / "fixtures" / "version-1.tar.gz") as archive:
         archive.extractall(folder / "before", filter="data")
--- a/heathford/cli/complete.py
+++ b/heathford/cli/complete.py
@@ -8,7 +8,7 @@
 from heathford.client import BadRequest, HttpClient, WebSocketClient
 from heathford.client.answers import CompletionError
 from heathford.client.base import Client
-from heathford.terminal.board import told
+from heathford.terminal.board import describe_error
 from heathford.tls.files import ALPN_PROTOCOLS
 
 
@@ -52,7 +52,7 @@
                 show(part, nl=False)
             found = await stream.result()
         except CompletionError as problem:
-            final, guidance = told(problem)
+            final, guidance = describe_error(problem)
             show(f"{chr(10) if problem.text else ''}{final}: {guidance} ({problem.tries} tries)", err=True)
             return 2 if isinstance(problem, BadRequest) else 1
         show(
--- a/heathford/days/faults.py
+++ b/heathford/days/faults.py
@@ -8,7 +8,7 @@
 from heathford.child_signals import send_signal
 from heathford.days.recording import Recording
 from heathford.days.tap import Relay
-from heathford.local.deployment import LONG_AGO, Deployment, entry
+from heathford.local.deployment import LONG_AGO, Deployment, registry_entry
 from heathford.script.script import Declaration
 
 DEFAULT_RESTART_TIME = 0.3  # s of downtime where the fault doesn't say how long it lasts
@@ -143,7 +143,9 @@
     async def list_engine(self, name: str, phase: str) -> None:
         """Put the engine into the registry's list with that phase."""
         declared = self.script.named("engine", name)
-        item = entry(self.script, declared, self.deployment.address(name), phase, self.start_times[name])
+        item = registry_entry(
+            self.script, declared, self.deployment.address(name), phase, self.start_times[name]
+        )
         await self.deployment.tell_registry({"do": "put", "item": item})
 
     async def cut_zone(self, zone: str, lasts: float) -> None:
--- a/heathford/fuzz/store.py
+++ b/heathford/fuzz/store.py
@@ -55,14 +55,14 @@
     states = [content_after(n) for n in range(records + 1)]
     tested = reported = wrong = 0
     for name in names:
-        data = bytes(intact.files[name].now)
+        data = bytes(intact.files[name].current)
         for at in range(len(data)):
             for method, corrupted in (
                 ("cut", data[:at]),
                 ("flipped", data[:at] + bytes([data[at] ^ 1 << at % 8]) + data[at + 1 :]),
             ):
                 disk = make_store(records)
-                disk.files[name].now = bytearray(corrupted)
+                disk.files[name].current = bytearray(corrupted)
                 tested += 1
                 try:
                     journal = Journal(disk, recover(disk))
--- a/heathford/local/deployment.py
+++ b/heathford/local/deployment.py
@@ -70,7 +70,9 @@
         send_signal(self.process, signal.SIGKILL)
 
 
-def entry(script: Script, engine: Declaration, address: str, phase: str, start: str) -> dict[str, Any]:
+def registry_entry(
+    script: Script, engine: Declaration, address: str, phase: str, start: str
+) -> dict[str, Any]:
     """An engine as the registry lists it."""
     rack = script.named("rack", engine.rack)
     return {
@@ -148,7 +150,7 @@
             {
                 "do": "put_now",
                 "items": [
-                    entry(self.script, e, address(e.name), "Running", LONG_AGO)
+                    registry_entry(self.script, e, address(e.name), "Running", LONG_AGO)
                     for e in self.script.all("engine")
                 ],
             }
--- a/heathford/soak/engine.py
+++ b/heathford/soak/engine.py
@@ -14,7 +14,7 @@
 from heathford.soak.plan import FaultKind
 from heathford.soak.records import Record, RecordKind
 from heathford.soak.relay import ConnectionObserver
-from heathford.standin.platform import STREAM, WORDS, Stand, chunk
+from heathford.standin.platform import STREAM, RESPONSES, StandInServer, chunk
 from heathford.wire.requests import RequestError, Request
 
 EVENTS_PER_STREAM = 6
@@ -32,7 +32,7 @@
 RecordCallback = Callable[[Record], None]
 
 
-class SoakEngine(Stand):
+class SoakEngine(StandInServer):
     """One engine; prefill states are shared by all engines of a run.
 
     held_states: the held prefill states, by request name. waiting_decodes: how many decode attempts wait
@@ -107,20 +107,20 @@
             return
         if FaultKind.ENGINE_FULL in self.active_faults:
             self.record(RecordKind.ENGINE_SAID, name, "full")
-            writer.write(WORDS["full"])
+            writer.write(RESPONSES["full"])
         elif FaultKind.ENGINE_ERRORS in self.active_faults:
             self.record(RecordKind.ENGINE_SAID, name, "error")
-            writer.write(WORDS["error"])
+            writer.write(RESPONSES["error"])
         elif self.is_prefill:
             await asyncio.sleep(self.random.uniform(*PREFILL_DURATIONS))
             if self.front_closed(writer):
                 return
             self.held_states[name] = monotonic()
             self.record(RecordKind.ENGINE_SAID, name, "read")
-            writer.write(WORDS["read"])
+            writer.write(RESPONSES["read"])
         elif name not in self.held_states:
             self.record(RecordKind.ENGINE_SAID, name, NOT_HELD)
-            writer.write(WORDS["gone"])
+            writer.write(RESPONSES["gone"])
         else:
             with self.waiting_for(name):
                 await asyncio.sleep(self.random.uniform(*DECODE_DURATIONS))
--- a/heathford/soak/run.py
+++ b/heathford/soak/run.py
@@ -17,7 +17,7 @@
 from heathford.soak.plan import FaultKind, Plan, Fault
 from heathford.soak.records import Record, RecordKind
 from heathford.soak.relay import Relay, ConnectionObserver
-from heathford.standin.platform import SECOND, Agent, settings
+from heathford.standin.platform import SECOND, DiscoveryAgent, settings
 
 ENGINE_COUNT = 10  # half of them prefill, in two zones
 CLIENTS_PER_FRONT = 4
@@ -88,7 +88,7 @@
         self.waiting_decodes: Counter[str] = Counter()
         self.front_count = fronts
         self.engines: list[RelayedEngine] = []
-        self.agents: list[list[Agent]] = []
+        self.agents: list[list[DiscoveryAgent]] = []
         self.discovery: list[Relay] = []
         self.fronts: list[FrontProcess] = []
         self.zones: dict[str, str] = {}
@@ -144,7 +144,7 @@
         return [engine.server.endpoint_entry(engine.relay.port) for engine in self.engines]
 
     async def new_front(self, number: int) -> None:
-        agents: list[Agent] = []
+        agents: list[DiscoveryAgent] = []
         addresses = []
         for _ in range(2):
             agent = SoakAgent(self.endpoint_entries)
@@ -349,7 +349,7 @@
         entries = [engine.server.endpoint_entry(engine.relay.port) for engine in engines]
         for agents in self.agents:
             for agent in agents:
-                agent.say(*entries)
+                agent.send_change(*entries)
 
     async def watch_lag(self) -> None:
         while True:
@@ -398,7 +398,7 @@
         writer.transport.abort()
 
 
-class SoakAgent(Agent):
+class SoakAgent(DiscoveryAgent):
     """A discovery agent whose complete list is computed for each request."""
 
     def __init__(self, get_entries: Callable[[], list[dict[str, Any]]]) -> None:
@@ -416,6 +416,6 @@
 
 @dataclass
 class ListedEngine:
-    """An engine as `Agent` reads it: only the attribute `row`, its entry of the endpoint list."""
+    """An engine as `DiscoveryAgent` reads it: only the attribute `row`, its entry of the endpoint list."""
 
     row: dict[str, Any]
--- a/heathford/standin/authority.py
+++ b/heathford/standin/authority.py
@@ -62,7 +62,7 @@
         )
 
 
-def put(folder: Path, pair: tuple[bytes, bytes], name: str = "front") -> tuple[str, str]:
+def write_key_files(folder: Path, pair: tuple[bytes, bytes], name: str = "front") -> tuple[str, str]:
     """Writes them; the names of the files."""
     (folder / f"{name}.pem").write_bytes(pair[0])
     (folder / f"{name}.key").write_bytes(pair[1])
--- a/heathford/standin/disk.py
+++ b/heathford/standin/disk.py
@@ -16,7 +16,7 @@
     def __init__(self) -> None:
         self.safe = bytearray()
         self.pieces: list[tuple[int, bytes]] = []  # where, what
-        self.now = bytearray()  # as the running process sees it
+        self.current = bytearray()  # as the running process sees it
         self.spoiled = False  # a sync failed: its pieces are gone from memory without being on disk
 
 
@@ -49,10 +49,10 @@
 
     def read(self, name: str) -> bytes:
         self.called("read", name)
-        return bytes(self.files[name].now)
+        return bytes(self.files[name].current)
 
     def size(self, name: str) -> int:
-        return len(self.files[name].now)
+        return len(self.files[name].current)
 
     def append(self, name: str, data: bytes) -> None:
         if name not in self.files:
@@ -72,13 +72,13 @@
     def put(self, content: Content, data: bytes) -> None:
         if self.room is not None:
             self.room -= len(data)
-        content.pieces.append((len(content.now), data))
-        content.now += data
+        content.pieces.append((len(content.current), data))
+        content.current += data
 
     def truncate(self, name: str, size: int) -> None:
         self.called("truncate", name)
         content = self.files[name]
-        del content.now[size:]
+        del content.current[size:]
         content.pieces = [(at, data[: max(0, size - at)]) for at, data in content.pieces if at < size]
         del content.safe[size:]
 
@@ -92,7 +92,7 @@
             content.pieces, content.spoiled = [], True
             raise
         if not content.spoiled:
-            content.safe = bytearray(content.now)
+            content.safe = bytearray(content.current)
         content.pieces = []
 
     def rename(self, old: str, new: str) -> None:
@@ -108,7 +108,7 @@
         self.called("remove", name)
         content = self.files.pop(name)
         if self.room is not None:
-            self.room += len(content.now)
+            self.room += len(content.current)
         self.changes.append(("-", name, content))
 
     def sync_directory(self) -> None:
@@ -129,7 +129,7 @@
                 left[at : at + len(part)] = part
         return left
 
-    def crashed(self) -> "Disk":
+    def after_crash(self) -> "Disk":
         """The disk as the next process finds it."""
         names = dict(self.safe_names)
         for what, name, content in self.changes:
@@ -149,7 +149,7 @@
         for name, content in names.items():
             left = Content()
             left.safe = self.left_of(content)
-            left.now = bytearray(left.safe)
+            left.current = bytearray(left.safe)
             after.files[name] = left
         after.safe_names = dict(after.files)
         after.room = self.room
--- a/heathford/standin/engine.py
+++ b/heathford/standin/engine.py
@@ -166,19 +166,19 @@
             if exchange.method == "DELETE":
                 self.let_go[name] = time.time()
                 found = self.states.pop(name, None)
-                exchange.whole(204 if found else 404, None)
+                exchange.respond(204 if found else 404, None)
             else:
                 await self.hand_over(exchange, name)
         elif path == "/v1/completions" and exchange.method == "POST":
             await self.complete(exchange)
         else:
-            exchange.whole(404, {"error": {"code": "not_found"}})
+            exchange.respond(404, {"error": {"code": "not_found"}})
 
     async def complete(self, exchange: Exchange) -> None:
         body = exchange.json()
         name = exchange.headers.get("x-request-id", "")
         if not isinstance(body, dict) or not isinstance(body.get("prompt"), str | list):
-            exchange.whole(400, {"error": {"code": "bad_request"}})
+            exchange.respond(400, {"error": {"code": "bad_request"}})
             return
         if self.pushed():
             self.down = True
@@ -188,7 +188,7 @@
         tokens, blocks = self.measure(body["prompt"])
         work = Work(exchange, name, body, tokens, blocks)
         if (self.full_to and body.get("model") == self.full_to) or len(self.queue) >= self.most_queued:
-            exchange.whole(503, {"error": {"code": "full"}}, {"Retry-After": "1", **self.report()})
+            exchange.respond(503, {"error": {"code": "full"}}, {"Retry-After": "1", **self.report()})
             return
         kv = body.get("kv_transfer_params") or {}
         work.seed = blake2b(orjson.dumps(body["prompt"]), digest_size=4).hexdigest()
@@ -197,10 +197,10 @@
         if kv.get("do_remote_prefill"):
             if not await self.fetch(kv, work):
                 if not exchange.gone:
-                    exchange.whole(410, {"error": {"code": "kv_state_gone"}}, self.report())
+                    exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.report())
                 return
         elif self.role == "write":
-            exchange.whole(410, {"error": {"code": "kv_state_gone"}}, self.report())
+            exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.report())
             return
         else:
             found = next((n for n, block in enumerate(blocks) if block not in self.kept), len(blocks))
@@ -235,7 +235,7 @@
     async def hand_over(self, exchange: Exchange, name: str) -> None:
         found = self.states.get(name)
         if not found:
-            exchange.whole(404, None)
+            exchange.respond(404, None)
             return
         zone, rack = exchange.headers.get("x-zone"), exchange.headers.get("x-rack")
         rate = self.rates[0 if rack == self.rack else 1 if zone == self.zone else 2]
@@ -375,7 +375,7 @@
         self.keep(work.blocks)
         if not work.exchange.gone and work.name not in self.let_go:
             self.states[work.name] = work, time.time() + self.state_life
-            work.exchange.whole(
+            work.exchange.respond(
                 200,
                 {
                     "object": "text_completion",
@@ -428,12 +428,12 @@
         elif do == "capacity":
             self.capacity = float(said["sends"])
         elif do == "states":
-            exchange.whole(200, {"states": list(self.states), "running": [w.name for w in self.running]})
+            exchange.respond(200, {"states": list(self.states), "running": [w.name for w in self.running]})
             return
         else:
-            exchange.whole(400, {"error": f"unknown command {do!r}"})
+            exchange.respond(400, {"error": f"unknown command {do!r}"})
             return
-        exchange.whole(200, {"started": start_text(self.started), "down": self.down})
+        exchange.respond(200, {"started": start_text(self.started), "down": self.down})
 
 
 def start_text(wall: float) -> str:
--- a/heathford/standin/link.py
+++ b/heathford/standin/link.py
@@ -18,7 +18,7 @@
     def __init__(self, pace: float = 0.0) -> None:
         self.pace = pace
         self.transfers = TransferRates()
-        self.held = False
+        self.paused = False
         self.breaks = 0  # a stream of so many tokens at the most breaks off at its first
         self.size, self.token = 1, "t"  # characters of a token
         self.calls: list[AnsweringCall] = []  # those that are out, and with `keep` those that were
@@ -49,7 +49,7 @@
     def __init__(self, link: AnsweringLink, endpoint: Endpoint, body: Any, events: CallEvents) -> None:
         self.link, self.endpoint, self.body, self.events = link, endpoint, body, events
         self.cancelled = False
-        self.given = 0
+        self.tokens_sent = 0
 
     def cancel(self) -> None:
         self.cancelled = True
@@ -72,27 +72,27 @@
             self.link.calls.remove(self)
 
     def go(self) -> None:
-        if self.link.held or self.cancelled:
+        if self.link.paused or self.cancelled:
             return
         if self.endpoint.role is Role.PREFILL:
             self.done()
             self.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"x": 1}})
             return
-        if not self.given:
+        if not self.tokens_sent:
             self.events.first_token()
         most = self.body["max_tokens"]
         if most == self.link.breaks:
             self.done()
             self.events.ended(Outcome.BROKEN, 0, {}, {})
             return
-        while self.given < most and not self.cancelled:
-            self.given += 1
+        while self.tokens_sent < most and not self.cancelled:
+            self.tokens_sent += 1
             self.events.tokens(self.link.token * self.link.size)
-            if self.link.pace and self.given < most:
+            if self.link.pace and self.tokens_sent < most:
                 asyncio.get_running_loop().call_later(self.link.pace, self.go)
                 return
         if not self.cancelled:
             self.done()
             self.events.ended(
-                Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.given}}
+                Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.tokens_sent}}
             )
--- a/heathford/standin/platform.py
+++ b/heathford/standin/platform.py
@@ -31,29 +31,29 @@
     return b"%x\r\n%b\r\n" % (len(data), data)
 
 
-GOOD = STREAM + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
+DECODE_RESPONSE = STREAM + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
 
 
-def whole(status: int, body: bytes = b"", more: str = "") -> bytes:
+def build_response(status: int, body: bytes = b"", more: str = "") -> bytes:
     return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
 
 
-READ = whole(202, b'{"cached_tokens":4}')
-WORDS = {
-    "read": READ,
-    "good": GOOD,
-    "error": whole(500),
-    "full": whole(503, more=REJECTED),
-    "expired": whole(504, more=REJECTED),
-    "busy": whole(503),
-    "gone": whole(410, more=REJECTED),
+PREFILL_RESPONSE = build_response(202, b'{"cached_tokens":4}')
+RESPONSES = {
+    "read": PREFILL_RESPONSE,
+    "good": DECODE_RESPONSE,
+    "error": build_response(500),
+    "full": build_response(503, more=REJECTED),
+    "expired": build_response(504, more=REJECTED),
+    "busy": build_response(503),
+    "gone": build_response(410, more=REJECTED),
     "begin": STREAM + chunk(EVENTS[0]),  # and no more
     "silent": b"",
 }
 BREAKS = {"reset": b"", "break": STREAM + chunk(EVENTS[0])}  # what comes before the connection ends
 
 
-class Stand:
+class StandInServer:
     """A server of whole requests, one after the other on a connection."""
 
     def __init__(self) -> None:
@@ -98,16 +98,16 @@
             writer.transport.abort()
 
 
-class ScriptedEngine(Stand):
+class ScriptedEngine(StandInServer):
     def __init__(self, uid: str, model: str, reads: bool, *script: str | bytes) -> None:
         super().__init__()
-        self.uid, self.model, self.reads = uid, model, reads
+        self.uid, self.model, self.is_prefill = uid, model, reads
         self.script = list(script)
-        self.asked: list[tuple[str, str]] = []  # method and id, as they came
+        self.received_requests: list[tuple[str, str]] = []  # method and id, as they came
         self.bodies: list[bytes] = []
-        self.heads: list[Mapping[str, str]] = []
+        self.request_headers: list[Mapping[str, str]] = []
         self.came = asyncio.Condition()
-        self.held = asyncio.Event()  # what "hold" waits for before it answers well
+        self.resume = asyncio.Event()  # what "hold" waits for before it answers well
         self.state = "SERVING"
         self.boot_ms = 0
 
@@ -124,29 +124,29 @@
             "boot_ms": self.boot_ms,
         }
 
-    async def until(self, count: int, method: str = "POST") -> None:
+    async def wait_for_requests(self, count: int, method: str = "POST") -> None:
         """Until that many requests of the method have come."""
         async with self.came:
-            await self.came.wait_for(lambda: sum(m == method for m, _ in self.asked) >= count)
+            await self.came.wait_for(lambda: sum(m == method for m, _ in self.received_requests) >= count)
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         name = request.headers.get("x-call-id", request.target.rpartition("/")[2])
-        self.asked.append((request.method, name))
+        self.received_requests.append((request.method, name))
         async with self.came:
             self.came.notify_all()
         if request.method == "DELETE":
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             return
         self.bodies.append(bytes(request.body))
-        self.heads.append(request.headers)
-        well = "read" if self.reads else "good"
+        self.request_headers.append(request.headers)
+        well = "read" if self.is_prefill else "good"
         step = self.script.pop(0) if self.script else well
         if step == "hold":
-            await self.held.wait()
+            await self.resume.wait()
             step = well
         if step == "spoil":
-            writer.write(WORDS["begin"])
-            await self.held.wait()
+            writer.write(RESPONSES["begin"])
+            await self.resume.wait()
             step = b"zz\r\n"
         if step in BREAKS:
             assert isinstance(step, str)
@@ -154,45 +154,45 @@
             await writer.drain()
             writer.close()
         else:
-            writer.write(WORDS[step] if isinstance(step, str) else step)
+            writer.write(RESPONSES[step] if isinstance(step, str) else step)
 
 
-class Agent(Stand):
+class DiscoveryAgent(StandInServer):
     """Discovery as it is seen from a front's machine."""
 
     def __init__(self, *engines: ScriptedEngine) -> None:
         super().__init__()
         self.version = 1
         self.engines = list(engines)
-        self.watching: dict[asyncio.StreamWriter, None] = {}
+        self.watchers: dict[asyncio.StreamWriter, None] = {}
         self.watched = asyncio.Condition()
         self.silent = False
         self.unanswered = 0  # so many calls next get no answer
 
-    def told(self, complete: bool, rows: list[dict[str, Any]]) -> bytes:
+    def list_message(self, complete: bool, rows: list[dict[str, Any]]) -> bytes:
         return orjson.dumps({"rev": self.version, "all": complete, "targets": rows})
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         if self.silent or self.unanswered:
             self.unanswered -= bool(self.unanswered)
             await asyncio.Event().wait()
-        rows = self.told(True, [e.row for e in self.engines])
+        rows = self.list_message(True, [e.row for e in self.engines])
         if "follow=1" not in request.target:
-            writer.write(whole(200, rows))
+            writer.write(build_response(200, rows))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(rows + b"\n"))
-        self.watching[writer] = None
+        self.watchers[writer] = None
         async with self.watched:
             self.watched.notify_all()
 
-    async def until_watched(self, count: int = 1) -> None:
+    async def wait_for_watchers(self, count: int = 1) -> None:
         async with self.watched:
-            await self.watched.wait_for(lambda: len(self.watching) >= count)
+            await self.watched.wait_for(lambda: len(self.watchers) >= count)
 
-    def say(self, *rows: dict[str, Any], complete: bool = False) -> None:
+    def send_change(self, *rows: dict[str, Any], complete: bool = False) -> None:
         self.version += 1
-        for writer in self.watching:
-            writer.write(chunk(self.told(complete, list(rows)) + b"\n"))
+        for writer in self.watchers:
+            writer.write(chunk(self.list_message(complete, list(rows)) + b"\n"))
 
 
 def settings(**limits: Any) -> dict[str, Any]:
--- a/heathford/standin/registry.py
+++ b/heathford/standin/registry.py
@@ -32,11 +32,11 @@
         url = urlsplit(exchange.path)
         query = parse_qs(url.query)
         if url.path != PATH or exchange.method != "GET":
-            exchange.whole(404, None)
+            exchange.respond(404, None)
         elif "watch" in query:
             await self.watch(exchange, int(query.get("resourceVersion", ["0"])[0]))
         else:
-            exchange.whole(
+            exchange.respond(
                 200,
                 {
                     "kind": "EngineList",
@@ -134,9 +134,9 @@
             self.replay = bool(said["on"])
             self.server.reset_all()
         else:
-            exchange.whole(400, {"error": f"unknown command {do!r}"})
+            exchange.respond(400, {"error": f"unknown command {do!r}"})
             return
-        exchange.whole(200, {"version": self.version})
+        exchange.respond(200, {"version": self.version})
 
     def soon(self, kind: str, item: dict[str, Any]) -> None:
         task = asyncio.get_running_loop().create_task(self.publish(kind, item))
--- a/heathford/standin/server.py
+++ b/heathford/standin/server.py
@@ -39,7 +39,7 @@
         lines = [f"HTTP/1.1 {status} X", *(f"{k}: {v}" for k, v in headers.items())]
         self.write("\r\n".join(lines).encode() + b"\r\n\r\n")
 
-    def whole(self, status: int, value: Any, headers: dict[str, str] | None = None) -> None:
+    def respond(self, status: int, value: Any, headers: dict[str, str] | None = None) -> None:
         body = b"" if value is None else orjson.dumps(value)
         length = {} if status == 204 else {"Content-Length": str(len(body))}
         self.head(status, {"Content-Type": "application/json", **length, **(headers or {})})
--- a/heathford/terminal/app.py
+++ b/heathford/terminal/app.py
@@ -40,8 +40,8 @@
         panel = self.panel
         self.heading.update(panel.heading)
         self.text.update(panel.text)
-        self.end.update(f"{panel.final}: {panel.guidance}" if panel.over else "")
-        self.set_class(panel.over and panel.final != "finished", "failed")
+        self.end.update(f"{panel.final}: {panel.guidance}" if panel.ended else "")
+        self.set_class(panel.ended and panel.final != "finished", "failed")
         self.set_class(panel.final == "finished", "finished")
 
 
@@ -70,7 +70,7 @@
         self.make, self.models, self.max_tokens, self.timeout = make, models, max_tokens, timeout
         self.board = Board(MOST)
         self.views: dict[int, PanelView] = {}
-        self.asking: dict[int, asyncio.Task[None]] = {}
+        self.tasks: dict[int, asyncio.Task[None]] = {}
         self.client: Client | None = None
 
     def compose(self) -> ComposeResult:
@@ -87,9 +87,9 @@
         self.query_one(Input).focus()
 
     async def on_unmount(self) -> None:
-        for task in list(self.asking.values()):
+        for task in list(self.tasks.values()):
             task.cancel()
-        await asyncio.gather(*self.asking.values(), return_exceptions=True)
+        await asyncio.gather(*self.tasks.values(), return_exceptions=True)
         if self.client:
             await self.client.close()
 
@@ -105,8 +105,8 @@
         view = self.views[panel.number] = PanelView(panel)
         await self.query_one(Grid).mount(view)
         task = asyncio.get_running_loop().create_task(self.run_one(panel, view))
-        self.asking[panel.number] = task
-        task.add_done_callback(lambda _: self.asking.pop(panel.number, None))
+        self.tasks[panel.number] = task
+        task.add_done_callback(lambda _: self.tasks.pop(panel.number, None))
 
     async def run_one(self, panel: Panel, view: PanelView) -> None:
         assert self.client
@@ -127,11 +127,11 @@
         self.sub_title = self.board.summary
 
     def action_cancel(self) -> None:
-        for task in list(self.asking.values()):
+        for task in list(self.tasks.values()):
             task.cancel()
 
     async def action_clear(self) -> None:
-        for panel in [p for p in self.board.panels if p.over]:
+        for panel in [p for p in self.board.panels if p.ended]:
             self.board.panels.remove(panel)
             await self.views.pop(panel.number).remove()
         self.sub_title = self.board.summary
--- a/heathford/terminal/board.py
+++ b/heathford/terminal/board.py
@@ -23,7 +23,7 @@
     tries: int = 1
 
     @property
-    def over(self) -> bool:
+    def ended(self) -> bool:
         return bool(self.final)
 
     def says(self, text: str, now: float) -> None:
@@ -38,7 +38,7 @@
 
     def failed(self, problem: CompletionError, now: float) -> None:
         self.took, self.tries = now - self.begun, problem.tries
-        self.final, self.guidance = told(problem)
+        self.final, self.guidance = describe_error(problem)
 
     def cancelled(self, now: float) -> None:
         self.took, self.final, self.guidance = now - self.begun, "cancelled", "ended here; ask again at will"
@@ -56,7 +56,7 @@
         return " · ".join(parts)
 
 
-def told(problem: CompletionError) -> tuple[str, str]:
+def describe_error(problem: CompletionError) -> tuple[str, str]:
     """A final answer that is none, and what to do about it."""
     if isinstance(problem, RateLimited):
         return "rate-limited", f"nothing has run; come back in {problem.retry_after:g} s"
@@ -83,7 +83,7 @@
         self.count += 1
         panel = Panel(self.count, model, prompt, now)
         self.panels.append(panel)
-        gone = next((p for p in self.panels if p.over), None) if len(self.panels) > self.most else None
+        gone = next((p for p in self.panels if p.ended), None) if len(self.panels) > self.most else None
         if gone:
             self.panels.remove(gone)
         return panel, gone
--- a/tests/engine_processes.py
+++ b/tests/engine_processes.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from heathford.child_signals import send_signal
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 LISTENS = """
     import os, signal, socket, time
@@ -36,7 +36,7 @@
     + f"""
     connection = listener.accept()[0]
     connection.recv(1 << 20)
-    connection.sendall({READ!r})
+    connection.sendall({PREFILL_RESPONSE!r})
     print(time.monotonic(), flush=True)
     os.kill(os.getpid(), signal.SIGSTOP)
     signal.pause()
--- a/tests/node_processes.py
+++ b/tests/node_processes.py
@@ -11,7 +11,7 @@
 import orjson
 
 from heathford.child_signals import send_signal
-from heathford.standin.platform import Agent, settings
+from heathford.standin.platform import DiscoveryAgent, settings
 
 PLATFORM_COMMAND = ("-m", "heathford", "--log", "json", "platform")  # arguments of the Python interpreter
 
@@ -29,7 +29,7 @@
     folder: Path, *arguments: str, listen: str = "127.0.0.1:0"
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Start a front node with an agent and a configuration of its own; kill it at the end if it runs."""
-    agent = Agent()
+    agent = DiscoveryAgent()
     address = await agent.open()
     path = folder / "config.json"
     write_configuration(path, address)
--- a/tests/raw_peers.py
+++ b/tests/raw_peers.py
@@ -19,7 +19,7 @@
 from heathford.platform.link import REUSE_DELAY
 from heathford.platform.process import Node
 from heathford.platform.start import read_configuration
-from heathford.standin.platform import EVENTS, GOOD, READ, Agent, settings
+from heathford.standin.platform import EVENTS, DECODE_RESPONSE, PREFILL_RESPONSE, DiscoveryAgent, settings
 
 ALL = b"".join(EVENTS)
 TIMEOUT = 5.0  # s for an awaited condition: far longer than it takes
@@ -228,7 +228,7 @@
 class FrontSetup:
     """A front node with its engines, its discovery and its clients."""
 
-    def __init__(self, node: Node, agent: Agent, engines: tuple[RawEngine, ...]) -> None:
+    def __init__(self, node: Node, agent: DiscoveryAgent, engines: tuple[RawEngine, ...]) -> None:
         self.node, self.agent, self.engines = node, agent, engines
         self.clients: list[RawClient] = []
 
@@ -238,7 +238,7 @@
 
     def publish_entries(self, *engines: RawEngine) -> None:
         """Have discovery send these engines' entries as a change of the list."""
-        self.agent.say(*(engine.row for engine in engines))
+        self.agent.send_change(*(engine.row for engine in engines))
 
     async def answer(self, client: RawClient, name: str) -> None:
         """Serve one request with the first two engines; afterwards all connections are idle."""
@@ -249,8 +249,8 @@
             client.whole_streams,
         )
         client.send(request(name))
-        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(READ)
-        (await decode_engine.wait_for_request(decode_count + 1)).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request(decode_count + 1)).sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == stream_count + 1, "the stream's end")
 
     async def answer_anywhere(self, client: RawClient, name: str) -> None:
@@ -259,20 +259,20 @@
         prefill_count, stream_count = prefill_engine.posts, client.whole_streams
         counts_before = [decode_engine.posts for decode_engine in decode_engines]
         client.send(request(name))
-        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(READ)
+        (await prefill_engine.wait_for_request(prefill_count + 1)).sock.sendall(PREFILL_RESPONSE)
         await until(
             lambda: [decode_engine.posts for decode_engine in decode_engines] != counts_before,
             "a decode attempt",
         )
         asked = next(w for w, posts in zip(decode_engines, counts_before, strict=True) if w.posts > posts)
-        asked.latest[b"POST"].sock.sendall(GOOD)
+        asked.latest[b"POST"].sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == stream_count + 1, "the stream's end")
         await self.wait_until_reusable()
 
     async def submit_until_decode(self, client: RawClient) -> RawConnection:
         """Send the first request and prefill it; return the connection of its decode attempt."""
         client.send(request("c0"))
-        (await self.engines[0].wait_for_request()).sock.sendall(READ)
+        (await self.engines[0].wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         return await self.engines[1].wait_for_request()
 
     async def wait_until_reusable(self) -> None:
@@ -290,7 +290,7 @@
     **setting_options: Any,
 ) -> AsyncIterator[FrontSetup]:
     """Start a front node. change_settings: changes its settings; other options go to `settings`."""
-    agent = Agent()
+    agent = DiscoveryAgent()
     agent.engines = list(engines)  # type: ignore[arg-type]
     address = await agent.open()
     node_settings = settings(**setting_options)
@@ -308,7 +308,7 @@
     try:
         async with asyncio.timeout(20.0):
             await node.start()
-            await agent.until_watched()
+            await agent.wait_for_watchers()
             yield setup
     finally:
         node.watch.stop()
--- a/tests/test_attempt_left_in_kernel.py
+++ b/tests/test_attempt_left_in_kernel.py
@@ -31,7 +31,7 @@
 
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.engine_call import EngineCall
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 LARGE = 200_000  # bytes of a prompt, within the 256 KiB of a body
 SMALL = 8_000  # bytes: more than the small buffer holds, less than the kernel may hold unsent
@@ -119,7 +119,7 @@
         while not client.answers and time.monotonic() < started_at + CLIENT_TIMEOUT:
             if prefill_engine.posts > prefills:
                 prefills += 1
-                (await prefill_engine.wait_for_request(prefills)).sock.sendall(READ)
+                (await prefill_engine.wait_for_request(prefills)).sock.sendall(PREFILL_RESPONSE)
             await asyncio.sleep(0.005)
         release_task.cancel()
         assert ended, "no attempt was given up"
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -301,7 +301,7 @@
         for task in list(front.runner.tasks.running):
             task.cancel()
         await asyncio.gather(*front.runner.tasks.running, return_exceptions=True)
-        front.served.link.held = True
+        front.served.link.paused = True
         for call in list(front.served.link.calls):
             call.cancelled = True
     else:
--- a/tests/test_clients.py
+++ b/tests/test_clients.py
@@ -191,7 +191,7 @@
             ports.append(UNUSED_PORT)
             continue
         served = fleet.add(**{k: v for k, v in figures.items() if k != "held"})
-        served.link.held = bool(figures.get("held"))
+        served.link.paused = bool(figures.get("held"))
         ports.append(served.port)
     params: dict[str, Any] = {
         "model": "w",
@@ -244,7 +244,7 @@
 @pytest.mark.parametrize("repeatable, ended", [(True, "finished"), (False, "aborted")])
 def test_a_front_killed_before_the_first_token(fleet: Fleet, kind: str, repeatable: bool, ended: str) -> None:
     async def scenario(client: Client, fronts: list[InProcessFront]) -> None:
-        fronts[0].link.held = True
+        fronts[0].link.paused = True
         stream = client.stream("w", "x" * 400, max_tokens=4, repeatable=repeatable, timeout=2.0)
         task = stream.start()
         while not fronts[0].core.live:
@@ -430,7 +430,7 @@
 def test_a_buffered_answer_is_started_anew_at_another_front(fleet: Fleet, kind: str) -> None:
     async def scenario(client: Client, fronts: list[InProcessFront]) -> None:
         task = asyncio.ensure_future(client.complete("w", "x" * 400, max_tokens=20, timeout=5.0))
-        while not fronts[0].link.calls or not fronts[0].link.calls[0].given:
+        while not fronts[0].link.calls or not fronts[0].link.calls[0].tokens_sent:
             await asyncio.sleep(0.001)
         fleet.kill(fronts[0])
         found = await task
--- a/tests/test_deadline_told.py
+++ b/tests/test_deadline_told.py
@@ -10,7 +10,7 @@
 from raw_peers import FrontSetup, decode, prefill, request, run_scenario, until
 
 from heathford.policy import Router
-from heathford.standin.platform import READ, WORDS
+from heathford.standin.platform import PREFILL_RESPONSE, RESPONSES
 
 BUDGET = 3_000  # ms
 SLACK = 150  # ms by which it may be later, by the requirements
@@ -34,7 +34,7 @@
         client.send(data[:split_at])
         await asyncio.sleep(WAIT)
         client.send(data[split_at:])
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         stated = int((await decode_engine.wait_for_request()).header("X-Budget-Ms"))
         assert 0 < stated <= BUDGET - 1000 * WAIT
         assert stated <= max_budget(started_at)
@@ -49,9 +49,9 @@
         client.send(b"".join(request(name, BUDGET, request_class="booking") for name in ("c0", "c1")))
         connection = await prefill_engine.wait_for_request()
         await asyncio.sleep(WAIT)
-        connection.sock.sendall(READ)
-        (await decode_engine.wait_for_request()).sock.sendall(WORDS["error"])
-        (await prefill_engine.wait_for_request(2)).sock.sendall(READ)
+        connection.sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request()).sock.sendall(RESPONSES["error"])
+        (await prefill_engine.wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
         stated = int((await decode_engine.wait_for_request(2)).header("X-Budget-Ms"))
         assert 0 < stated <= min(BUDGET - 1000 * WAIT, max_budget(started_at))
 
@@ -82,7 +82,7 @@
         await until(lambda: prefill_engine.posts + other.posts == 1, "the first attempt")
         first = prefill_engine if prefill_engine.posts else other
         await asyncio.sleep(WAIT)
-        (await first.wait_for_request()).sock.sendall(WORDS["error"])
+        (await first.wait_for_request()).sock.sendall(RESPONSES["error"])
         release = await first.wait_for_request(1, b"DELETE")
         await asyncio.sleep(0.05)
         release.sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
--- a/tests/test_failing_start.py
+++ b/tests/test_failing_start.py
@@ -12,7 +12,7 @@
 from raw_peers import FrontSetup, run_scenario, until
 
 from heathford.platform.start import read_configuration
-from heathford.standin.platform import Agent
+from heathford.standin.platform import DiscoveryAgent
 
 FAILURES = 3
 TRANSIENT_ERRORS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EIO)
@@ -67,7 +67,7 @@
 
     async def scenario(setup: FrontSetup) -> None:
         for half_written in (False, True):
-            other = Agent()
+            other = DiscoveryAgent()
             address = await other.open()
             whole = write_configuration(setup.node.path, address)
             if half_written:
@@ -81,7 +81,7 @@
             port = int(address.rpartition(":")[2])
             await until(lambda port=port: setup.node.watch.port == port, "the new discovery")  # type: ignore[misc]
             assert monotonic() - began < 2.0
-            await other.until_watched()
+            await other.wait_for_watchers()
             other.close()
 
     run_scenario(tmp_path, scenario)
--- a/tests/test_faults_contained.py
+++ b/tests/test_faults_contained.py
@@ -14,7 +14,7 @@
 from heathford.platform.client_connection import ClientConnection
 from heathford.platform.client_server import ClientServer
 from heathford.policy import Router
-from heathford.standin.platform import GOOD, READ
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE
 from heathford.wire.request_reader import RequestReader
 
 MakeCoreHarness = Callable[..., CoreHarness]
@@ -119,10 +119,10 @@
         client.send(request("c0", budget=300, request_class="booking"))
         connection = await prefill_engine.wait_for_request()
         if method_name != "rate_limited":
-            connection.sock.sendall(READ)
+            connection.sock.sendall(PREFILL_RESPONSE)
             connection = await decode_engine.wait_for_request()
         if method_name == "finished":
-            connection.sock.sendall(GOOD)
+            connection.sock.sendall(DECODE_RESPONSE)
         if method_name == "aborted":
             connection.sock.close()
         if method_name == "finished":  # part of the answer was sent: it ends without its last chunk
--- a/tests/test_held_check.py
+++ b/tests/test_held_check.py
@@ -7,7 +7,7 @@
 from raw_peers import FrontSetup, answer_releases, decode, prefill, request, run_scenario, until
 
 from heathford.core.gate import Rule
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 LIMIT = 0.6  # s: the stand-in's pin limit plus HELD_ALLOWANCE
 ANSWERS_AFTER = 0.4  # s: 0.2 s latency each way
@@ -22,7 +22,7 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0"))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         read_at = time.monotonic()
         await until(lambda: prefill_engine.deletes + decode_engine.deletes > 0, "the release")
         assert time.monotonic() - read_at < LIMIT
--- a/tests/test_held_state_processes.py
+++ b/tests/test_held_state_processes.py
@@ -21,7 +21,7 @@
 from heathford.platform.process import log_unhandled
 from heathford.soak.front import FrontProcess
 from heathford.soak.records import Record
-from heathford.standin.platform import Agent, ScriptedEngine, settings
+from heathford.standin.platform import DiscoveryAgent, ScriptedEngine, settings
 from heathford.wire.requests import Request
 
 LIMIT = 0.3  # s for which state may be held, as the stand-in's settings say
@@ -47,7 +47,7 @@
 class Fleet:
     """One front node process and its engines."""
 
-    def __init__(self, front: FrontProcess, agent: Agent) -> None:
+    def __init__(self, front: FrontProcess, agent: DiscoveryAgent) -> None:
         self.front, self.agent = front, agent
         self.writers: list[asyncio.StreamWriter] = []
 
@@ -64,7 +64,7 @@
     """Run a front node until it is ready, with these engines in its endpoint list."""
     for engine in engines:
         await (engine.start() if isinstance(engine, EngineProcess) else engine.open())
-    agent = Agent()
+    agent = DiscoveryAgent()
     agent.engines = list(engines)  # type: ignore[arg-type]
     records: list[Record] = []
     front = FrontProcess("n0", folder, settings(), [await agent.open()], [], records.append)
@@ -74,7 +74,7 @@
         async with asyncio.timeout(TIMEOUT):
             while not front.address.ready:
                 await asyncio.sleep(0.01)
-            await agent.until_watched()  # an earlier change would be missed
+            await agent.wait_for_watchers()  # an earlier change would be missed
         yield made
     finally:
         for writer in made.writers:
@@ -129,7 +129,7 @@
             await made.ask("c0", request_class)
             answered_at = await holder.read_figure()
             made.agent.engines.append(other)
-            made.agent.say(other.row)
+            made.agent.send_change(other.row)
             await until_released(other, ["c0"])
             other.close()
         assert other.released_at["c0"] - answered_at <= LIMIT + ALLOWANCE
--- a/tests/test_idempotency_key.py
+++ b/tests/test_idempotency_key.py
@@ -7,7 +7,7 @@
 import pytest
 from raw_peers import FrontSetup, answer_releases, decode, prefill, request, run_scenario, until
 
-from heathford.standin.platform import GOOD, READ, WORDS
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE, RESPONSES
 
 KEY = "b02d0542cb65 83a72f10"
 
@@ -38,7 +38,7 @@
         client.send(with_header("c0", f"Idempotency-Key: {KEY}"))
         connection = await prefill_engine.wait_for_request()
         assert connection.header("Idempotency-Key") == KEY
-        connection.sock.sendall(READ)
+        connection.sock.sendall(PREFILL_RESPONSE)
         await until(lambda: decode_engine.posts + other_decode_engine.posts == 1, "a decode attempt")
         first, second = (
             (decode_engine, other_decode_engine)
@@ -47,7 +47,7 @@
         )
         connection = await first.wait_for_request()
         assert connection.header("Idempotency-Key") == KEY
-        connection.sock.sendall(WORDS["full"])
+        connection.sock.sendall(RESPONSES["full"])
         await until(
             lambda: decode_engine.posts + other_decode_engine.posts + prefill_engine.posts == 3,
             "a further attempt",
@@ -64,7 +64,7 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         connection = await setup.submit_until_decode(client)
-        connection.sock.sendall(GOOD)
+        connection.sock.sendall(DECODE_RESPONSE)
         assert b"idempotency" not in connection.read_available().lower()
 
     run_scenario(tmp_path, scenario)
--- a/tests/test_last_moment.py
+++ b/tests/test_last_moment.py
@@ -10,7 +10,7 @@
 import pytest
 from raw_peers import FrontSetup, decode, prefill, request, run_scenario, run_loop_turns, until
 
-from heathford.standin.platform import GOOD, READ
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE
 
 
 class DelayedConnections:
@@ -41,7 +41,7 @@
         client = setup.client()
         client.send(request("c0"))
         if place:
-            (await setup.engines[0].wait_for_request()).sock.sendall(READ)
+            (await setup.engines[0].wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         await until(lambda: connections.waiting > 0, "a connection attempt")
         version = setup.node.endpoint_list.version
         engine.state = state
@@ -51,7 +51,7 @@
         await run_loop_turns(200)
         assert engine.posts == 0
         other = setup.engines[place + 2]
-        (await other.wait_for_request()).sock.sendall(GOOD if place else READ)
+        (await other.wait_for_request()).sock.sendall(DECODE_RESPONSE if place else PREFILL_RESPONSE)
 
     run_scenario(
         tmp_path, scenario, prefill("r"), decode("w"), prefill("r2"), decode("w2"), connectTimeoutNs=10**9
--- a/tests/test_log_stream.py
+++ b/tests/test_log_stream.py
@@ -68,7 +68,7 @@
         assert node.process and node.process.stderr
         try:
             for n in range(200):
-                node.agent.say(
+                node.agent.send_change(
                     *({**decode_engine.row, "uid": f"bad{n}-{k}", "model": "none"} for k in range(50))
                 )
             async with asyncio.timeout(10.0):
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -97,7 +97,7 @@
     tmp_path: Path, effect: Effect, runs_again: bool
 ) -> None:
     async def before(start: Start) -> None:
-        start.served.link.held = True
+        start.served.link.paused = True
         asking = asyncio.ensure_future(start.ask("k"))
         while not start.served.core.live:
             await asyncio.sleep(0.001)
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -22,7 +22,7 @@
 from heathford.discovery.client import DiscoveryClient
 from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Health, Role
-from heathford.standin.platform import EVENTS, GOOD, Agent, ScriptedEngine, settings
+from heathford.standin.platform import EVENTS, DECODE_RESPONSE, DiscoveryAgent, ScriptedEngine, settings
 
 ALL = b"".join(EVENTS)
 TEST_TIMEOUT = 20.0  # s: far longer than any test takes
@@ -87,7 +87,7 @@
     """A front node's process, with its engines, its discovery and its clients."""
 
     def __init__(self, folder: Path, *engines: ScriptedEngine) -> None:
-        self.folder, self.engines, self.agent = folder, engines, Agent(*engines)
+        self.folder, self.engines, self.agent = folder, engines, DiscoveryAgent(*engines)
         self.process: asyncio.subprocess.Process | None = None
         self.clients: list[NodeClient] = []
         self.log_lines: list[dict[str, Any]] = []
@@ -112,7 +112,7 @@
             "limits": {"sockets": sockets},
             "seed": "1f",
             "settings": settings(**limits),
-            "known": orjson.loads(self.agent.told(True, [e.row for e in self.engines])),
+            "known": orjson.loads(self.agent.list_message(True, [e.row for e in self.engines])),
         }
         self.path = self.folder / "config.json"
         self.path.write_bytes(orjson.dumps(self.config))
@@ -141,7 +141,7 @@
         ready = await self.wait_for_log("ready")
         self.port = int(ready["listen"].rpartition(":")[2])
         if not before:
-            await self.agent.until_watched()
+            await self.agent.wait_for_watchers()
 
     async def wait_for_log(self, event: str) -> dict[str, Any]:
         """Read the log until this event; return its line."""
@@ -207,17 +207,21 @@
         for n in range(3):  # on one connection
             client.send(request_bytes(f"c{n}"))
             assert await client.read_answer() == (200, ALL, True)
-        assert prefill_engine.asked == decode_engine.asked == [("POST", f"c{n}") for n in range(3)]
+        assert (
+            prefill_engine.received_requests
+            == decode_engine.received_requests
+            == [("POST", f"c{n}") for n in range(3)]
+        )
         # Until a connection was reused, which happens some ms after an answer at the earliest.
-        while prefill_engine.connected == len(prefill_engine.asked):
-            client.send(request_bytes(f"d{len(prefill_engine.asked)}"))
+        while prefill_engine.connected == len(prefill_engine.received_requests):
+            client.send(request_bytes(f"d{len(prefill_engine.received_requests)}"))
             assert await client.read_answer() == (200, ALL, True)
         assert (
             prefill_engine.bodies[0]
             == decode_engine.bodies[0]
             == request_bytes("x").partition(b"\r\n\r\n")[2]
         )
-        assert 0 < int(decode_engine.heads[0]["x-budget-ms"]) <= 4000
+        assert 0 < int(decode_engine.request_headers[0]["x-budget-ms"]) <= 4000
         client.send(b"GET /health/ready HTTP/1.1\r\n\r\n")
         assert (await client.read_answer())[0] == 200
         client.send(request_bytes("c3") + request_bytes("c4"))  # pipelined: in order, one at a time
@@ -249,10 +253,16 @@
         ("chat", [], [b"noise\r\n\r\n"], (200, ALL, True), 2),
         ("booking", [], [b"noise\r\n\r\n"], 502, 1),
         ("chat", [], ["break"], INCOMPLETE_STREAM, 1),
-        ("chat", [], [GOOD[: GOOD.index(b"\r\n\r\n") + 4] + b"zz\r\n"], (200, ALL, True), 2),
+        (
+            "chat",
+            [],
+            [DECODE_RESPONSE[: DECODE_RESPONSE.index(b"\r\n\r\n") + 4] + b"zz\r\n"],
+            (200, ALL, True),
+            2,
+        ),
         # Unusual, but valid.
-        ("booking", [], [b"HTTP/1.1 103 X\r\n\r\n" + GOOD], (200, ALL, True), 1),
-        ("booking", [], [GOOD + GOOD], (200, ALL, True), 1),
+        ("booking", [], [b"HTTP/1.1 103 X\r\n\r\n" + DECODE_RESPONSE], (200, ALL, True), 1),
+        ("booking", [], [DECODE_RESPONSE + DECODE_RESPONSE], (200, ALL, True), 1),
     ],
 )
 def test_outcomes_of_attempts(
@@ -268,7 +278,7 @@
     async def scenario(node: NodeProcess) -> None:
         answer_received = await node.request("c0", workload=workload)
         assert answer_received == answer if isinstance(answer, tuple) else answer_received[0] == answer
-        assert decode_engine.asked.count(("POST", "c0")) == decode_attempts
+        assert decode_engine.received_requests.count(("POST", "c0")) == decode_attempts
         # Bytes behind an answer are discarded: the next request gets its own answer.
         assert await node.request("c1", workload=workload) == (200, ALL, True)
 
@@ -283,8 +293,8 @@
         client.send(request_bytes("c0"))
         assert (await client.read_head())[0] == 200
         assert (await client.reader.readuntil(b"\n\n\r\n")).endswith(EVENTS[0] + b"\r\n")
-        decode_engine.held.set()
-        assert await client.read_until_closed() == b"" and decode_engine.asked == [("POST", "c0")]
+        decode_engine.resume.set()
+        assert await client.read_until_closed() == b"" and decode_engine.received_requests == [("POST", "c0")]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
@@ -296,7 +306,7 @@
         unreachable.close()
         for n in range(6):
             assert await node.request(f"c{n}", workload="booking") == (200, ALL, True)
-        assert not unreachable.asked
+        assert not unreachable.received_requests
 
     run_scenario(tmp_path, [prefill_engine, decode_engine, unreachable], scenario)
 
@@ -308,8 +318,8 @@
         started_at = asyncio.get_running_loop().time()
         status, _, is_complete = await node.request("c0", workload="booking", budget="700")
         assert (status, is_complete) == (502, True) and asyncio.get_running_loop().time() - started_at < 0.75
-        await prefill_engine.until(1, "DELETE")  # the prefill state is released
-        assert [name for method, name in decode_engine.asked if method == "POST"] == ["c0"]
+        await prefill_engine.wait_for_requests(1, "DELETE")  # the prefill state is released
+        assert [name for method, name in decode_engine.received_requests if method == "POST"] == ["c0"]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
@@ -320,13 +330,13 @@
     async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         client.send(request_bytes("c0"))
-        await prefill_engine.until(1)
+        await prefill_engine.wait_for_requests(1)
         client.writer.transport.abort()
-        await decode_engine.until(0)
-        held = asyncio.create_task(prefill_engine.until(1, "DELETE"))
-        other_engine = asyncio.create_task(decode_engine.until(1, "DELETE"))
+        await decode_engine.wait_for_requests(0)
+        held = asyncio.create_task(prefill_engine.wait_for_requests(1, "DELETE"))
+        other_engine = asyncio.create_task(decode_engine.wait_for_requests(1, "DELETE"))
         await asyncio.wait([held, other_engine], return_when=asyncio.FIRST_COMPLETED)
-        assert not [m for m, _ in decode_engine.asked if m == "POST"]
+        assert not [m for m, _ in decode_engine.received_requests if m == "POST"]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
 
@@ -389,7 +399,9 @@
         # Counts only the calls that a link makes: a front node of another test may look for its discovery,
         # which has ended, on a port that an engine here was given since.
         assert not [
-            call for call in prefill_engine.asked + decode_engine.asked if call[0] in ("POST", "DELETE")
+            call
+            for call in prefill_engine.received_requests + decode_engine.received_requests
+            if call[0] in ("POST", "DELETE")
         ]
         assert await node.request("after") == (200, ALL, True)
 
@@ -402,9 +414,9 @@
     async def scenario(node: NodeProcess) -> None:
         first = await node.client()
         first.send(request_bytes("c0"))
-        await prefill_engine.until(1)
+        await prefill_engine.wait_for_requests(1)
         assert (await node.request("c0"))[0] == 409
-        prefill_engine.held.set()
+        prefill_engine.resume.set()
         assert await first.read_answer() == (200, ALL, True)
         assert await node.request("c0") == (200, ALL, True)
 
@@ -429,13 +441,13 @@
     async def scenario(node: NodeProcess) -> None:
         idle_client, busy_client, late_client = [await node.client() for _ in range(3)]
         idle_client.send(request_bytes("c0"))
-        await decode_engine.until(1)
-        decode_engine.held.set()
+        await decode_engine.wait_for_requests(1)
+        decode_engine.resume.set()
         assert await idle_client.read_answer() == (200, ALL, True)
-        decode_engine.held.clear()
+        decode_engine.resume.clear()
         decode_engine.script.append("hold")
         busy_client.send(request_bytes("c1"))
-        await decode_engine.until(2)
+        await decode_engine.wait_for_requests(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         await node.wait_for_log("ending")
@@ -445,7 +457,7 @@
         assert status == 503 and headers["connection"] == "close"
         assert await node.request("c2") == (200, ALL, True)
         assert await idle_client.read_until_closed() == b""
-        decode_engine.held.set()
+        decode_engine.resume.set()
         assert [await busy_client.read_answer() for _ in range(2)] == [(200, ALL, True)] * 2
         await node.wait_for_log("ended")
         assert await node.process.wait() == 0
@@ -472,14 +484,17 @@
         log_line = await node.wait_for_log("configuration not taken")
         assert "nInstances is missing" in log_line["why"]
         await other_engine.open()
-        new_agent = Agent(prefill_engine, other_engine)
+        new_agent = DiscoveryAgent(prefill_engine, other_engine)
         new_agent.version = 7
         await new_agent.open()
         node.path.write_bytes(orjson.dumps({**node.config, "discovery": new_agent.address}))
         send_signal(node.process, signal.SIGHUP)
-        await new_agent.until_watched()
+        await new_agent.wait_for_watchers()
         assert await node.request("c1") == (200, ALL, True)
-        assert ("POST", "c1") in other_engine.asked and ("POST", "c1") not in decode_engine.asked
+        assert ("POST", "c1") in other_engine.received_requests and (
+            "POST",
+            "c1",
+        ) not in decode_engine.received_requests
         new_agent.close()
         other_engine.close()
 
@@ -491,20 +506,20 @@
 
     async def scenario(node: NodeProcess) -> None:
         decode_engine.state = "DRAINING"
-        node.agent.say(decode_engine.row)
+        node.agent.send_change(decode_engine.row)
         # Either engine may be chosen until the front node has received the drain: repeat until the other is
         # chosen three times in a row.
         for n in range(100):
             assert await node.request(f"c{n}") == (200, ALL, True)
-            if len(other_engine.asked) >= 5 and other_engine.asked[-3:] == [
+            if len(other_engine.received_requests) >= 5 and other_engine.received_requests[-3:] == [
                 ("POST", f"c{k}") for k in range(n - 2, n + 1)
             ]:
                 break
-        count = len(decode_engine.asked)
+        count = len(decode_engine.received_requests)
         node.agent.close()
         for n in range(5):
             assert await node.request(f"d{n}") == (200, ALL, True)
-        assert len(decode_engine.asked) == count
+        assert len(decode_engine.received_requests) == count
 
     run_scenario(tmp_path, [prefill_engine, decode_engine, other_engine], scenario)
 
@@ -521,7 +536,7 @@
 
     async def scenario(node: NodeProcess) -> None:
         assert await node.request("c0") == (200, ALL, True)
-        assert not decode_engine.asked and ("POST", "c0") in other_engine.asked
+        assert not decode_engine.received_requests and ("POST", "c0") in other_engine.received_requests
 
     other_engine.state = "DRAINING"
     run_scenario(tmp_path, [prefill_engine, decode_engine, other_engine], scenario, before=swap_drain)
@@ -542,11 +557,11 @@
 
 
 @asynccontextmanager
-async def watching_client() -> AsyncIterator[tuple[ScriptedEngine, Agent, list[Health]]]:
+async def watching_client() -> AsyncIterator[tuple[ScriptedEngine, DiscoveryAgent, list[Health]]]:
     """Run a DiscoveryClient; yield an engine, its agent and the engine's states received, in order."""
     engine = decode()
     await engine.open()
-    agent = Agent(engine)
+    agent = DiscoveryAgent(engine)
     await agent.open()
     received_states: list[Health] = []
     host, _, port = agent.address.rpartition(":")
@@ -559,7 +574,7 @@
     watch.start()
     try:
         async with asyncio.timeout(TEST_TIMEOUT):
-            await agent.until_watched()
+            await agent.wait_for_watchers()
             yield engine, agent, received_states
     finally:
         watch.stop()
@@ -577,7 +592,7 @@
     async def run() -> None:
         async with watching_client() as (engine, agent, received_states):
             agent.silent = True
-            for connection in agent.watching:
+            for connection in agent.watchers:
                 connection.close()
             await asyncio.sleep(1.0)
             agent.silent, engine.state = False, "DRAINING"
@@ -599,7 +614,7 @@
             agent.version += 1  # without an event on the watch
             while not received_states or received_states[-1] is not Health.DRAINING:
                 await asyncio.sleep(0.02)
-            await agent.until_watched(2)
+            await agent.wait_for_watchers(2)
 
     asyncio.run(run())
 
--- a/tests/test_platform_answers.py
+++ b/tests/test_platform_answers.py
@@ -4,7 +4,15 @@
 
 from heathford.interface import Outcome
 from heathford.platform.answers import Answer
-from heathford.standin.platform import EVENTS, GOOD, READ, STREAM, WORDS, chunk, whole
+from heathford.standin.platform import (
+    EVENTS,
+    DECODE_RESPONSE,
+    PREFILL_RESPONSE,
+    STREAM,
+    RESPONSES,
+    chunk,
+    build_response,
+)
 from heathford.wire.http1 import MalformedMessageError
 
 ALL = b"".join(EVENTS)
@@ -76,27 +84,32 @@
 @pytest.mark.parametrize(
     "data, is_prefill, passed_on, expected",
     [
-        (GOOD, False, ALL, (Outcome.FINISHED, 4)),
-        (READ, True, b"", (Outcome.PREFILLED, 4)),
-        (whole(202, b'{"cached_tokens":-3}'), True, b"", (Outcome.PREFILLED, 0)),
-        (whole(202, b"{"), True, b"", "nonsense"),
-        (WORDS["error"], False, b"", (Outcome.ERROR, 0)),
-        (WORDS["full"], True, b"", (Outcome.FULL, 0)),
-        (WORDS["expired"], False, b"", (Outcome.FULL, 0)),
-        (WORDS["busy"], False, b"", (Outcome.ERROR, 0)),
-        (WORDS["gone"], False, b"", (Outcome.FULL, 1)),
-        (whole(410), False, b"", (Outcome.ERROR, 0)),
-        (whole(200, b"{}"), True, b"", (Outcome.ERROR, 0)),
-        (whole(202, b"{}"), False, b"", (Outcome.ERROR, 0)),
-        (whole(404), False, b"", (Outcome.ERROR, 0)),
-        (b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + GOOD, False, ALL, (Outcome.FINISHED, 4)),
+        (DECODE_RESPONSE, False, ALL, (Outcome.FINISHED, 4)),
+        (PREFILL_RESPONSE, True, b"", (Outcome.PREFILLED, 4)),
+        (build_response(202, b'{"cached_tokens":-3}'), True, b"", (Outcome.PREFILLED, 0)),
+        (build_response(202, b"{"), True, b"", "nonsense"),
+        (RESPONSES["error"], False, b"", (Outcome.ERROR, 0)),
+        (RESPONSES["full"], True, b"", (Outcome.FULL, 0)),
+        (RESPONSES["expired"], False, b"", (Outcome.FULL, 0)),
+        (RESPONSES["busy"], False, b"", (Outcome.ERROR, 0)),
+        (RESPONSES["gone"], False, b"", (Outcome.FULL, 1)),
+        (build_response(410), False, b"", (Outcome.ERROR, 0)),
+        (build_response(200, b"{}"), True, b"", (Outcome.ERROR, 0)),
+        (build_response(202, b"{}"), False, b"", (Outcome.ERROR, 0)),
+        (build_response(404), False, b"", (Outcome.ERROR, 0)),
+        (
+            b"HTTP/1.1 100 X\r\n\r\nHTTP/1.1 103 X\r\nA: 1\r\n\r\n" + DECODE_RESPONSE,
+            False,
+            ALL,
+            (Outcome.FINISHED, 4),
+        ),
         (
-            GOOD.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff;=\r\n\r\n", 1),
+            DECODE_RESPONSE.replace(b"\r\n\r\n", b"\r\nX-Load-Report: \xff;=\r\n\r\n", 1),
             False,
             ALL,
             (Outcome.FINISHED, 4),
         ),
-        (WORDS["begin"], False, EVENTS[0], None),
+        (RESPONSES["begin"], False, EVENTS[0], None),
         (STREAM + chunk(ALL[:100]) + chunk(ALL[100:]) + b"0\r\n\r\n", False, ALL, (Outcome.FINISHED, 4)),
         # Malformed before the first event, when a retry is still possible, and later.
         (b"\x00\x01\x02noise", False, b"", "nonsense"),
@@ -123,10 +136,10 @@
 
 def test_connection_with_a_second_answer_is_not_reused() -> None:
     answer = Answer(is_prefill=False)
-    assert answer.feed(GOOD + GOOD) == ALL
+    assert answer.feed(DECODE_RESPONSE + DECODE_RESPONSE) == ALL
     assert answer.outcome() == (Outcome.FINISHED, 4) and not answer.keep_alive
     next_answer = Answer(is_prefill=False)
-    next_answer.feed(GOOD)
+    next_answer.feed(DECODE_RESPONSE)
     assert next_answer.keep_alive
 
 
--- a/tests/test_platform_clients.py
+++ b/tests/test_platform_clients.py
@@ -15,7 +15,7 @@
 
 
 def count_posts(*engines: object) -> int:
-    return sum(method == "POST" for engine in engines for method, _ in engine.asked)  # type: ignore[attr-defined]
+    return sum(method == "POST" for engine in engines for method, _ in engine.received_requests)  # type: ignore[attr-defined]
 
 
 def close(client: NodeClient, way: str) -> None:
@@ -30,7 +30,7 @@
     prefill_engine, decode_engine = prefill(), decode()
 
     async def scenario(node: NodeProcess) -> None:
-        node.agent.say(
+        node.agent.send_change(
             {**prefill_engine.row, "state": "DRAINING"}, {**decode_engine.row, "state": "DRAINING"}
         )
         other_engine = decode(uid="w2")
@@ -41,7 +41,7 @@
         close(client, way)
         await asyncio.sleep(AFTER_LEAVING)
         await other_engine.open()
-        node.agent.say(prefill_engine.row, decode_engine.row, other_engine.row)
+        node.agent.send_change(prefill_engine.row, decode_engine.row, other_engine.row)
         assert await node.request("c1") == (200, ALL, True)
         other_engine.close()
         assert count_posts(prefill_engine) == 1 and count_posts(decode_engine, other_engine) == 1
@@ -72,13 +72,13 @@
     async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         client.send(request_bytes("c0"))
-        await prefill_engine.until(1)
+        await prefill_engine.wait_for_requests(1)
         client.send(sent_ahead)
         if sent_ahead:
             await client.writer.drain()
         close(client, way)
         await asyncio.sleep(AFTER_LEAVING)
-        prefill_engine.held.set()
+        prefill_engine.resume.set()
         await asyncio.sleep(0.3)
         assert count_posts(decode_engine) == 0 and count_posts(prefill_engine) == 1
         assert await node.request("c1") == (200, ALL, True)
@@ -95,12 +95,12 @@
     async def scenario(node: NodeProcess) -> None:
         client = await node.client()
         client.send(request_bytes("c0"))
-        await decode_engine.until(1)
+        await decode_engine.wait_for_requests(1)
         client.writer.close()
         await asyncio.sleep(AFTER_LEAVING)
         decode_engine.script = [outcome]
-        decode_engine.held.set()
-        node.agent.say({**other_engine.row, "state": "SERVING"})
+        decode_engine.resume.set()
+        node.agent.send_change({**other_engine.row, "state": "SERVING"})
         await asyncio.sleep(0.3)
         assert (
             count_posts(prefill_engine) == 1
@@ -127,9 +127,9 @@
     async def scenario(node: NodeProcess) -> None:
         flooding_client = await node.client()
         flooding_client.send(request_bytes("c0") + 2_000 * request_bytes("d"))
-        await prefill_engine.until(1)
+        await prefill_engine.wait_for_requests(1)
         assert await node.request("c1") == (200, ALL, True)
-        prefill_engine.held.set()
+        prefill_engine.resume.set()
         assert await flooding_client.read_answer() == (200, ALL, True)
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario)
@@ -148,15 +148,18 @@
         decode_engine.script = ["good", "hold"]
         assert await idle_client.read_answer() == (200, ALL, True)
         busy_client.send(request_bytes("c1"))
-        await decode_engine.until(2)
+        await decode_engine.wait_for_requests(2)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         assert await idle_client.reader.read() == b""
         idle_client.send(request_bytes("c2"))
         await asyncio.sleep(0.2)
-        decode_engine.held.set()
+        decode_engine.resume.set()
         assert await busy_client.read_answer() == (200, ALL, True)
-        assert ("POST", "c2") not in prefill_engine.asked and idle_client.reader.exception() is None
+        assert (
+            "POST",
+            "c2",
+        ) not in prefill_engine.received_requests and idle_client.reader.exception() is None
         idle_client.writer.close()
         assert await node.process.wait() == 0
 
@@ -193,7 +196,7 @@
 
     async def scenario(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.request("c0"))
-        await decode_engine.until(1)
+        await decode_engine.wait_for_requests(1)
         text = node.path.read_bytes()
         moved_text = text.replace(node.agent.address.encode(), b"127.0.0.1:1")
         node.path.write_bytes(moved_text if variant == "moved" else text[: len(text) // 2])
@@ -201,7 +204,7 @@
         for number in signals:
             send_signal(node.process, number)
             await asyncio.sleep(0.05)
-        decode_engine.held.set()
+        decode_engine.resume.set()
         assert await waiting == (200, ALL, True)
         assert await node.process.wait() == 0
 
@@ -219,7 +222,7 @@
 
     async def scenario(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.request("c0", workload="booking", budget=str(budget)))
-        await decode_engine.until(1)
+        await decode_engine.wait_for_requests(1)
         assert node.process
         send_signal(node.process, signal.SIGTERM)
         async with asyncio.timeout(max(budget / 1000, 0.7) + 0.7):
--- a/tests/test_platform_descriptors.py
+++ b/tests/test_platform_descriptors.py
@@ -38,10 +38,10 @@
 
     async def scenario(node: NodeProcess) -> None:
         waiting = asyncio.create_task(node.request("c0"))
-        await decode_engine.until(1)
+        await decode_engine.wait_for_requests(1)
         port = int(node.agent.address.rpartition(":")[2])
         node.agent.close()
-        node.agent.watching.clear()
+        node.agent.watchers.clear()
         await asyncio.gather(*(node.client() for _ in range(IDLE_CLIENTS)))
         await asyncio.sleep(0.3)
         cpu_before = processor_time(node)
@@ -51,12 +51,15 @@
         decode_engine.state, other_engine.state = "DRAINING", "SERVING"
         node.agent.version += 1
         await node.agent.open(port)
-        await node.agent.until_watched()
-        decode_engine.held.set()
+        await node.agent.wait_for_watchers()
+        decode_engine.resume.set()
         assert await waiting == (200, ALL, True)
         # On a new connection, although the limit is reached.
         assert await node.request("c1") == (200, ALL, True)
-        assert ("POST", "c1") in other_engine.asked and ("POST", "c1") not in decode_engine.asked
+        assert ("POST", "c1") in other_engine.received_requests and (
+            "POST",
+            "c1",
+        ) not in decode_engine.received_requests
 
     run_scenario(
         tmp_path, [prefill_engine, decode_engine, other_engine], scenario, sockets=SOCKETS, limited=True
@@ -68,10 +71,10 @@
 
     async def scenario(node: NodeProcess) -> None:
         waiting = [asyncio.create_task(node.request(f"c{n}")) for n in range(3)]
-        await decode_engine.until(3)
+        await decode_engine.wait_for_requests(3)
         for _ in range(3):
             await asyncio.gather(*(node.client() for _ in range(IDLE_CLIENTS // 3)))
-        decode_engine.held.set()
+        decode_engine.resume.set()
         assert await asyncio.gather(*waiting) == 3 * [(200, ALL, True)]
 
     run_scenario(tmp_path, [prefill_engine, decode_engine], scenario, sockets=SOCKETS, limited=True)
--- a/tests/test_races_client_gone.py
+++ b/tests/test_races_client_gone.py
@@ -28,7 +28,7 @@
 )
 
 from heathford.platform.exchange import EngineConnection
-from heathford.standin.platform import READ, WORDS
+from heathford.standin.platform import PREFILL_RESPONSE, RESPONSES
 
 NOISE = 20_000 * b"x"  # takes 40 turns of the loop to read
 LOOP_STALL = 0.05  # s
@@ -74,7 +74,7 @@
         connection = await prefill_engine.wait_for_request(prefill_engine.posts + 1)
         with small_reads():
             send_ahead_and_leave(client, way)
-            connection.sock.sendall(READ)
+            connection.sock.sendall(PREFILL_RESPONSE)
             await until(lambda: not setup.node.core.live, "left")
             await run_loop_turns()
             assert decode_engine.posts == requests_before
@@ -92,7 +92,7 @@
         async with front_node(tmp_path, prefill_engine, decode_engine, other_engine) as setup:
             client = setup.client()
             client.send(request("c1"))
-            (await prefill_engine.wait_for_request()).sock.sendall(READ)
+            (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
             connection = await decode_engine.wait_for_request()
             other_engine.state = "SERVING"
             setup.publish_entries(other_engine)
@@ -102,7 +102,7 @@
                 if outcome == "reset":
                     connection.sock.close()
                 else:
-                    connection.sock.sendall(WORDS[outcome])
+                    connection.sock.sendall(RESPONSES[outcome])
                 await until(lambda: not setup.node.core.live, "left")
                 await run_loop_turns()
                 assert (prefill_engine.posts, decode_engine.posts, other_engine.posts) == (1, 1, 0)
@@ -118,7 +118,7 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c1"))
-        (await prefill_engine.wait_for_request()).sock.sendall(WORDS["error"])
+        (await prefill_engine.wait_for_request()).sock.sendall(RESPONSES["error"])
         release = await prefill_engine.wait_for_request(1, b"DELETE")
         assert prefill_engine.posts == 1 and setup.node.link.releases
         with small_reads():
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -26,7 +26,7 @@
 from heathford.platform.exchange import EngineConnection
 from heathford.platform.process import Node
 from heathford.platform.start import read_configuration
-from heathford.standin.platform import GOOD, READ, WORDS, Agent, settings
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE, RESPONSES, DiscoveryAgent, settings
 
 REUSE_DELAY = 0.05  # s after an answer until its connection is used again
 DUPLICATE_DELAY = 0.03  # s after an answer until it is sent once more
@@ -94,7 +94,7 @@
         monkeypatch.setattr(EngineConnection, "nothing_unread", check_then_close)
         client = setup.client()
         client.send(request("c1", request_class=request_class))
-        (await prefill_engine.wait_for_request(2)).sock.sendall(READ)
+        (await prefill_engine.wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
         if further:
             await until(lambda: prefill_engine.posts + decode_engine.posts > 3, "a further attempt")
         else:
@@ -113,11 +113,13 @@
         await setup.wait_until_reusable()
         client.send(request("c1"))
         connection = await prefill_engine.wait_for_request(2)
-        decode_engine.connections[0].sock.sendall(GOOD)  # the first answer again, without a request
-        connection.sock.sendall(READ)
+        decode_engine.connections[0].sock.sendall(
+            DECODE_RESPONSE
+        )  # the first answer again, without a request
+        connection.sock.sendall(PREFILL_RESPONSE)
         await until(lambda: decode_engine.posts == 2, "the write")
         assert len(decode_engine.connections) == 2 and peer_ended(decode_engine.connections[0])
-        (await decode_engine.wait_for_request(2)).sock.sendall(GOOD)
+        (await decode_engine.wait_for_request(2)).sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == 2, "the stream's end")
 
     run_scenario(tmp_path, scenario)
@@ -133,16 +135,16 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0"))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         first = await decode_engine.wait_for_request()
         other = setup.client()
         other.send(request("c1"))  # its prefill attempt is in flight, so that its decode attempt follows soon
         prefilled = await prefill_engine.wait_for_request(2)
-        first.sock.sendall(GOOD)
+        first.sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == 1, "the stream's end")
         answered_at = setup.node.loop.time()
         await asyncio.sleep(DUPLICATE_DELAY)
-        prefilled.sock.sendall(READ)
+        prefilled.sock.sendall(PREFILL_RESPONSE)
         connection = await decode_engine.wait_for_request(2)
         [sent_at] = [
             record.time
@@ -151,10 +153,10 @@
         ]
         if sent_at - answered_at >= REUSE_DELAY:
             return  # the machine was too slow for this case to occur
-        first.sock.sendall(GOOD.replace(b"ab", b"no"))  # of the first request
+        first.sock.sendall(DECODE_RESPONSE.replace(b"ab", b"no"))  # of the first request
         await asyncio.sleep(0.05)
         if connection is not first:
-            connection.sock.sendall(GOOD)
+            connection.sock.sendall(DECODE_RESPONSE)
             await until(lambda: other.whole_streams == 1, "the stream's end")
         assert b'"no"' not in other.read_available()
 
@@ -167,9 +169,9 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0", request_class="booking"))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         connection = await decode_engine.wait_for_request()
-        connection.sock.sendall(WORDS[step])
+        connection.sock.sendall(RESPONSES[step])
         connection.sock.close()
         if step == "error":  # may have run
             assert await client.wait_for_answers(1) == [502] and decode_engine.posts == 1
@@ -203,7 +205,7 @@
             lambda: bool(closed) and bool(watch.protocols) and closed[0] not in watch.protocols.values(),
             "another call",
         )
-        await setup.agent.until_watched()
+        await setup.agent.wait_for_watchers()
         await run_loop_turns()
         assert closed[0].transport is not None and closed[0].transport.is_closing()
         other = decode("w2")
@@ -219,7 +221,7 @@
     """Discovery is silent when the process starts; it is reloaded and stopped before it is ready."""
 
     async def scenario() -> None:
-        agent = Agent()
+        agent = DiscoveryAgent()
         agent.silent = True
         host, _, port = (await agent.open()).rpartition(":")
         path = tmp_path / "n0.json"
--- a/tests/test_races_read_answered.py
+++ b/tests/test_races_read_answered.py
@@ -19,7 +19,7 @@
     SHUTDOWN_ACCEPT_PERIOD,
 )
 from heathford.platform.process import Node
-from heathford.standin.platform import EVENTS, GOOD, READ
+from heathford.standin.platform import EVENTS, DECODE_RESPONSE, PREFILL_RESPONSE
 
 PARTIAL_REQUEST = request("half")[:200]
 
@@ -53,8 +53,8 @@
     """Have both engines answer so many requests, one after the other."""
     prefill_engine, decode_engine = scenario.engines
     for n in range(1, count + 1):
-        (await prefill_engine.wait_for_request(n)).sock.sendall(READ)
-        (await decode_engine.wait_for_request(n)).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request(n)).sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request(n)).sock.sendall(DECODE_RESPONSE)
 
 
 # Evictions.
@@ -159,8 +159,8 @@
         client.send(request("c1"))
         setup.node.clients.sweep(setup.node.loop.time() + idle_time)
         await until(lambda: setup.engines[0].posts == 2, "the request")
-        (await setup.engines[0].wait_for_request(2)).sock.sendall(READ)
-        (await setup.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        (await setup.engines[0].wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
+        (await setup.engines[1].wait_for_request(2)).sock.sendall(DECODE_RESPONSE)
         assert await client.wait_for_answers(2) == [200, 200]
 
     run_scenario(tmp_path, scenario)
@@ -217,10 +217,10 @@
 
         run_before(monkeypatch, ClientConnection, "finished", send_next)
         shutdown = await begin_shutdown(setup)
-        engine_connection.sock.sendall(READ)
-        (await setup.engines[1].wait_for_request()).sock.sendall(GOOD)
-        (await setup.engines[0].wait_for_request(2)).sock.sendall(READ)
-        (await setup.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        engine_connection.sock.sendall(PREFILL_RESPONSE)
+        (await setup.engines[1].wait_for_request()).sock.sendall(DECODE_RESPONSE)
+        (await setup.engines[0].wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
+        (await setup.engines[1].wait_for_request(2)).sock.sendall(DECODE_RESPONSE)
         assert await client.wait_for_answers(2) == [200, 200]
         await until(lambda: client.whole_streams == 2, "both streams")
         client.sock.close()
@@ -236,8 +236,8 @@
         setup.node.clients.stop()
         client.send(request("c1"))
         setup.node.clients.close_idle()
-        (await setup.engines[0].wait_for_request(2)).sock.sendall(READ)
-        (await setup.engines[1].wait_for_request(2)).sock.sendall(GOOD)
+        (await setup.engines[0].wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
+        (await setup.engines[1].wait_for_request(2)).sock.sendall(DECODE_RESPONSE)
         assert await client.wait_for_answers(2) == [200, 200]
         assert client.whole_streams == 2 and (await client.wait_until_closed()).count(b"HTTP/1.1") == 2
 
@@ -301,7 +301,7 @@
         releases.cancel()
         client.send(request("c1"))
         await run_loop_turns()
-        connection.sock.sendall(GOOD)
+        connection.sock.sendall(DECODE_RESPONSE)
         assert await client.wait_for_answers(2) == [200, 503]
         assert client.whole_streams == 1 and setup.engines[0].posts == 1
         client.sock.close()
@@ -314,8 +314,8 @@
     async def scenario(setup: FrontSetup) -> None:
         client = setup.client()
         connection = await setup.submit_until_decode(client)
-        for part in range(0, len(GOOD), 60):
-            connection.sock.sendall(GOOD[part : part + 60])
+        for part in range(0, len(DECODE_RESPONSE), 60):
+            connection.sock.sendall(DECODE_RESPONSE[part : part + 60])
             await run_loop_turns(3)
             if not part:
                 shutdown = await begin_shutdown(setup)
--- a/tests/test_refused_calls.py
+++ b/tests/test_refused_calls.py
@@ -19,7 +19,7 @@
 from raw_peers import FrontSetup, request, run_scenario, until
 
 from heathford.event_loop import RetryingEpoll, RetryingSocket, new_event_loop
-from heathford.standin.platform import GOOD, READ
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE
 
 NO_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
 REQUESTS = 6
@@ -57,8 +57,8 @@
     client = setup.client()
     for number in range(REQUESTS):
         client.send(request(f"c{number}"))
-        (await prefill_engine.wait_for_request(number + 1)).sock.sendall(READ)
-        (await decode_engine.wait_for_request(number + 1)).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request(number + 1)).sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request(number + 1)).sock.sendall(DECODE_RESPONSE)
         await until(lambda number=number: client.whole_streams == number + 1, f"stream {number}")  # type: ignore[misc]
     assert client.answers == REQUESTS * [200]
     assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
@@ -129,8 +129,8 @@
         monkeypatch.setattr(socket.socket, "connect", put_off)
         client = setup.client()
         client.send(request("c0", request_class="booking"))
-        (await setup.engines[0].wait_for_request()).sock.sendall(READ)
-        (await setup.engines[1].wait_for_request()).sock.sendall(GOOD)
+        (await setup.engines[0].wait_for_request()).sock.sendall(PREFILL_RESPONSE)
+        (await setup.engines[1].wait_for_request()).sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == 1, "the stream's end")
         assert not left
         assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
--- a/tests/test_release_load.py
+++ b/tests/test_release_load.py
@@ -7,7 +7,7 @@
 from raw_peers import FrontSetup, RawConnection, RawEngine, decode, prefill, request, run_scenario
 
 from heathford.platform.silent_engines import PROBE_INTERVAL, SILENT_AFTER, SilentEngines
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 PREFILLS, DECODES = 4, 8
 REQUESTS = 12
@@ -25,7 +25,7 @@
                 for connection in engine.connections:
                     while answered[connection] < connection.received.count(b"POST /"):
                         answered[connection] += 1
-                        connection.sock.sendall(READ)
+                        connection.sock.sendall(PREFILL_RESPONSE)
         await asyncio.sleep(0.002)
 
 
--- a/tests/test_repeat_beside_silence.py
+++ b/tests/test_repeat_beside_silence.py
@@ -17,7 +17,7 @@
 from raw_peers import run_scenario, until
 from test_repeat_read_late import WINDOW, add_keyed_class
 
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 TRY_LIMIT = 12  # attempts per request: enough for several at each engine
 AFTER_WINDOW = 0.3  # s past the window after which an engine resumes
@@ -49,7 +49,7 @@
         while True:
             if engine.posts > prefills:
                 prefills += 1
-                (await engine.wait_for_request(prefills)).sock.sendall(READ)
+                (await engine.wait_for_request(prefills)).sock.sendall(PREFILL_RESPONSE)
             await asyncio.sleep(0.002)
 
 
--- a/tests/test_repeat_read_late.py
+++ b/tests/test_repeat_read_late.py
@@ -7,7 +7,7 @@
 
 from raw_peers import FrontSetup, answer_releases, decode, prefill, request, run_scenario, until
 
-from heathford.standin.platform import READ, SECOND
+from heathford.standin.platform import PREFILL_RESPONSE, SECOND
 
 WINDOW = 1.5  # s for which engines know a key
 
@@ -34,7 +34,7 @@
         releases = asyncio.create_task(answer_releases(prefill_engine))
         client = setup.client()
         client.send(request("c0", request_class="order"))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         await until(lambda: any(decode_engine.posts for decode_engine in decode_engines), "the first attempt")
         ran_at = monotonic()
         stopped = next(decode_engine for decode_engine in decode_engines if not decode_engine.posts)
@@ -42,7 +42,7 @@
         while monotonic() < ran_at + WINDOW:  # the stopped engine reads nothing
             if prefill_engine.posts > prefills:
                 prefills += 1
-                (await prefill_engine.wait_for_request(prefills)).sock.sendall(READ)
+                (await prefill_engine.wait_for_request(prefills)).sock.sendall(PREFILL_RESPONSE)
             await asyncio.sleep(0.005)
         releases.cancel()
         assert stopped.posts == 0
--- a/tests/test_service.py
+++ b/tests/test_service.py
@@ -108,7 +108,7 @@
 ) -> None:
     async def scenario() -> None:
         served = InProcessFront(effect, most_held=10 if refused else 10**6)
-        served.link.held = served.link.keep = True
+        served.link.paused = served.link.keep = True
         request_params = {"model": "w", "prompt": "x" * 400, "max_tokens": 3, "timeout": 3.0}
 
         async def break_all() -> None:
@@ -437,15 +437,15 @@
         async with app.run_test() as pilot:
             await pilot.press(*"a || none: b")
             await pilot.press("enter")
-            while len(app.views) < 2 or not all(v.panel.over for v in app.views.values()):
+            while len(app.views) < 2 or not all(v.panel.ended for v in app.views.values()):
                 await pilot.pause()
             one, two = (v.panel for v in app.views.values())
             assert (one.text, one.final) == ("ttttt", "finished") and two.final == "refused"
             assert "no workload here" in two.guidance and app.sub_title == "1 finished, 1 refused"
-            served.link.held = True
+            served.link.paused = True
             await app.ask("w", "c")
             await pilot.press("escape")
-            while app.asking:
+            while app.tasks:
                 await pilot.pause()
             assert app.board.panels[-1].final == "cancelled"
             await pilot.press("ctrl+l")
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -137,11 +137,11 @@
 
 def test_an_id_in_use_is_refused_and_the_first_request_keeps_it() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = True
+        served.link.paused = True
         await client.send(create(1))
         await client.send(create(1))
         assert (await receive_answer(client, 1))["error"]["code"] == -32600
-        served.link.held = False
+        served.link.paused = False
         served.link.calls[0].go()
         await assert_finishes(client, 1)
 
@@ -150,7 +150,7 @@
 
 def test_a_cancelled_request_ends_once_and_frees_its_engine() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = served.link.keep = True
+        served.link.paused = served.link.keep = True
         await client.send(create(1))
         await client.send(
             json.dumps({"jsonrpc": "2.0", "id": 2, "method": "completions.cancel", "params": {"id": 1}})
@@ -172,7 +172,7 @@
 @pytest.mark.parametrize("figures, expected", [({"most_out": 1}, 1), ({"most_held": 700}, 1)])
 def test_a_session_beyond_its_limits_is_rate_limited(figures: dict[str, Any], expected: int) -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = True
+        served.link.paused = True
         await client.send(create(1))
         await client.send(create(2))
         error = (await receive_answer(client, 2))["error"]
@@ -220,7 +220,7 @@
 
 def test_a_client_that_disconnects_leaves_no_request_in_progress() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = served.link.keep = True
+        served.link.paused = served.link.keep = True
         for key in range(4):
             await client.send(create(key))
         while len(served.link.calls) < 4:
@@ -275,7 +275,7 @@
     """Each was new when it was submitted: they wait in their sessions or in the fair queue."""
 
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = served.link.keep = True
+        served.link.paused = served.link.keep = True
         async with connect(served.url) as second:
             for one in (client, second):
                 for key in range(active if one is client or figures else 0):
@@ -287,7 +287,7 @@
                 < 2
             ):
                 await asyncio.sleep(0.001)
-            served.link.held = False
+            served.link.paused = False
             for call in list(served.link.calls):
                 call.go()
             finals = [await receive_text(client, "k"), await receive_text(second, "k")]
@@ -336,13 +336,13 @@
 
 def test_a_repeat_with_an_earlier_deadline_is_answered_in_time() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = True
+        served.link.paused = True
         await client.send(create(1, idempotency_key="k"))
         async with connect(served.url) as second:
             await second.send(create(2, idempotency_key="k", timeout=0.3))
             error = (await receive_answer(second, 2))["error"]
             assert error["data"]["final"] == "aborted" and served.core.tally.aborted == 0
-        served.link.held = False
+        served.link.paused = False
         served.link.calls[0].go()
         await assert_finishes(client, 1)
 
@@ -351,14 +351,14 @@
 
 def test_requests_beyond_the_active_limit_wait_by_deadline_and_are_refused_at_theirs() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = True
+        served.link.paused = True
         await client.send(create("out", timeout=30))
         for key, timeout in (("late", 20), ("early", 10), ("never", 0.3)):
             await client.send(create(key, timeout=timeout))
         await client.send(create("no room"))
         for key in ("no room", "never"):
             assert (await receive_answer(client, key))["error"]["code"] == -32001
-        served.link.held = False
+        served.link.paused = False
         served.link.calls[0].go()
         order: list[str] = []
         while len(order) < 3:
@@ -372,7 +372,7 @@
 
 def test_a_session_beyond_its_read_ahead_is_not_read_from() -> None:
     async def scenario(served: InProcessFront, client: ClientConnection) -> None:
-        served.link.held = True
+        served.link.paused = True
         for key in range(60):
             await client.send(create(key, prompt="x" * 8000))
         while served.manager.capacity.held_bytes < 16_000:
@@ -384,7 +384,7 @@
             await client.send(
                 json.dumps({"jsonrpc": "2.0", "method": "completions.cancel", "params": {"id": key}})
             )
-        served.link.held = False
+        served.link.paused = False
         for call in list(served.link.calls):
             call.go()
         seen = 0
@@ -520,7 +520,7 @@
 
     async def run() -> None:
         served = InProcessFront(most=600, most_held=10**8)
-        served.link.held = served.link.keep = True
+        served.link.paused = served.link.keep = True
         reply: list[ReceivedFrames] = []
         listening, writers = [], []
         for _ in range(500):
--- a/tests/test_settings_apart.py
+++ b/tests/test_settings_apart.py
@@ -11,7 +11,7 @@
 
 from raw_peers import decode, front_node, prefill, request, until
 
-from heathford.standin.platform import READ, WORDS
+from heathford.standin.platform import PREFILL_RESPONSE, RESPONSES
 
 PACKAGES = ("policy", "core", "platform", "discovery", "fleet", "wire", "engines")
 FOLDER = Path(__file__).parent.parent / "heathford"
@@ -43,8 +43,8 @@
                 prefill_engine, decode_engine = setup.engines[:2]
                 client = setup.client()
                 client.send(request("c0", request_class=own_name))
-                (await prefill_engine.wait_for_request()).sock.sendall(READ)
-                (await decode_engine.wait_for_request()).sock.sendall(WORDS["error"])
+                (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
+                (await decode_engine.wait_for_request()).sock.sendall(RESPONSES["error"])
                 if setup is first:  # its workload is idempotent
                     await until(lambda: a.posts + b.posts == 3, "a further attempt")
                 else:
--- a/tests/test_slow_discovery.py
+++ b/tests/test_slow_discovery.py
@@ -8,14 +8,14 @@
 from heathford.discovery.follower import ListChange
 from heathford.fleet.endpoint_list import EndpointList
 from heathford.interface import Role
-from heathford.standin.platform import Agent, ScriptedEngine
+from heathford.standin.platform import DiscoveryAgent, ScriptedEngine
 from heathford.wire.requests import Request
 
 LIST_DEADLINE = 6.0  # s within which a list has to be applied, whichever call failed
 DRAIN_GRACE = 0.25  # s: the shortest drain grace known
 
 
-class SlowAgent(Agent):
+class SlowAgent(DiscoveryAgent):
     """Starts each answer `delay` seconds after its request."""
 
     delay = 0.0  # s
--- a/tests/test_slow_link.py
+++ b/tests/test_slow_link.py
@@ -12,7 +12,7 @@
 import pytest
 from raw_peers import FrontSetup, RawClient, RawEngine, decode, prefill, request, run_scenario, until
 
-from heathford.standin.platform import GOOD, READ
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE
 
 MEGABYTE = 1_000_000  # bytes
 BUFFER = 16_384  # bytes of an engine's receive buffer
@@ -84,7 +84,7 @@
             return b"HTTP/1.1 204 No Content\r\n\r\n"
         budget = int(data.partition(b"X-Budget-Ms: ")[2].split(b"\r\n")[0]) / 1000
         self.arrivals.append(Arrival(self.engine.uid, monotonic(), monotonic() + budget))
-        return READ if self.engine.model == "m0" else GOOD
+        return PREFILL_RESPONSE if self.engine.model == "m0" else DECODE_RESPONSE
 
 
 def is_whole(data: bytes) -> bool:
--- a/tests/test_slow_send.py
+++ b/tests/test_slow_send.py
@@ -15,7 +15,7 @@
 from raw_peers import FrontSetup, RawEngine, answer_releases, decode, prefill, request, run_scenario
 from test_attempt_left_in_kernel import is_whole
 
-from heathford.standin.platform import READ
+from heathford.standin.platform import PREFILL_RESPONSE
 
 LARGE = 250_000  # bytes of a prompt, within the 256 KiB of a body
 SMALL_BUFFER = 4_096  # bytes
@@ -65,7 +65,7 @@
             while not is_whole(connection):
                 connection.read_available()
                 await asyncio.sleep(0.002)
-            connection.sock.sendall(READ)
+            connection.sock.sendall(PREFILL_RESPONSE)
         await asyncio.sleep(1.0)
         read_task.cancel()
         if slow_index:
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -20,7 +20,7 @@
 from heathford.soak.records import Record, RecordKind
 from heathford.soak.relay import Relay, ConnectionObserver
 from heathford.soak.report import run_plan
-from heathford.standin.platform import Agent, settings
+from heathford.standin.platform import DiscoveryAgent, settings
 
 LIMITS = Limits(
     held_limit=0.3,
@@ -374,7 +374,7 @@
     """
 
     async def scenario() -> list[Record]:
-        agent = Agent()
+        agent = DiscoveryAgent()
         seen: list[Record] = []
         front = FrontProcess("n0", tmp_path, settings(), 2 * [await agent.open()], [], seen.append)
         await front.start()
--- a/tests/test_state_held.py
+++ b/tests/test_state_held.py
@@ -23,7 +23,7 @@
 from heathford.core.protocols import Arrival
 from heathford.interface import STALL_ALLOWANCE, Effect, Outcome
 from heathford.platform.release_schedule import MAX_ROUND_INTERVAL
-from heathford.standin.platform import GOOD, READ, WORDS
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE, RESPONSES
 
 LIMIT = 0.3  # s; the stand-in's pin limit
 ALLOWANCE = 0.3  # s; HELD_ALLOWANCE
@@ -48,7 +48,7 @@
         prefill_engine = setup.engines[0]
         client = setup.client()
         client.send(request("c0", request_class=request_class, size=LARGE))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         read_at = time.monotonic()
         await until(lambda: prefill_engine.deletes > 0, "the release")
         assert time.monotonic() - read_at <= LIMIT + ALLOWANCE
@@ -131,7 +131,7 @@
         client.send(request("c0"))
         (await prefill_engine.wait_for_request()).sock.close()
         (await prefill_engine.wait_for_request(1, b"DELETE")).sock.sendall(b"HTTP/1.1 204 No Content\r\n\r\n")
-        (await prefill_engine.wait_for_request(2)).sock.sendall(READ)
+        (await prefill_engine.wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
         await decode_engine.wait_for_request()
         await asyncio.sleep(LIMIT)
         assert prefill_engine.deletes + decode_engine.deletes == 1
@@ -146,7 +146,7 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         client.send(request("c0", size=LARGE))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         await until(lambda: prefill_engine.deletes > 0, "the release")
         sock = decode_engine.listener.accept()[0]
         got = 0
@@ -296,7 +296,9 @@
     assert harness.link.released == [harness.link.attempts[0].name]
 
 
-@pytest.mark.parametrize("part", [READ[:20], READ[:-4]], ids=["half a head", "half a body"])
+@pytest.mark.parametrize(
+    "part", [PREFILL_RESPONSE[:20], PREFILL_RESPONSE[:-4]], ids=["half a head", "half a body"]
+)
 def test_a_prefill_answer_that_begins_and_does_not_end_is_released_in_time(
     tmp_path: Path, part: bytes
 ) -> None:
@@ -527,8 +529,8 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         await unclear_prefill(setup, client)
-        (await prefill_engine.wait_for_request(2)).sock.sendall(READ)
-        (await decode_engine.wait_for_request()).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request(2)).sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request()).sock.sendall(DECODE_RESPONSE)
         await until(
             lambda: prefill_engine.deletes + decode_engine.deletes > 1, "a release after the first event"
         )
@@ -557,7 +559,7 @@
         prefill_engine, decode_engine = setup.engines
         client = setup.client()
         await unclear_prefill(setup, client, budget=400)
-        (await prefill_engine.wait_for_request(2)).sock.sendall(WORDS["full"])
+        (await prefill_engine.wait_for_request(2)).sock.sendall(RESPONSES["full"])
         await client.wait_for_answers(1)
         await until(
             lambda: prefill_engine.deletes + decode_engine.deletes > 1, "a release after the final answer"
--- a/tests/test_store.py
+++ b/tests/test_store.py
@@ -126,7 +126,7 @@
         self.crashes += 1
         self.disk.fail = lambda call, name: 0
         if power_loss:
-            self.disk = self.disk.crashed()
+            self.disk = self.disk.after_crash()
         for _ in range(self.rng.randrange(3)):  # recovery itself crashes several times
             crash_call = self.rng.randrange(1, 12)
             disk, count = self.disk, 0
@@ -140,7 +140,7 @@
             with contextlib.suppress(CrashError):
                 open_journal(disk).write([((), 0.0)])
             disk.fail = lambda call, name: 0
-            self.disk = disk.crashed() if power_loss else disk
+            self.disk = disk.after_crash() if power_loss else disk
         self.journal = open_journal(self.disk)
         self.view, self.snapshot = self.journal.view, None
         recovered = content(self.view)
@@ -205,7 +205,7 @@
         "sync",
         lambda self, name: (
             None
-            if name.startswith("log") and len(self.files[name].now) > HEADER.size
+            if name.startswith("log") and len(self.files[name].current) > HEADER.size
             else original(self, name)
         ),
     )
@@ -313,8 +313,8 @@
         journal.write([((Change("s", b"%d" % n, b"x" * 20),), 0.0)])
     assert journal.segment
     file = disk.files[journal.segment.name]
-    start, end = corrupt_range(len(file.now))
-    file.now[start:end] = bytes(b ^ 0xFF for b in file.now[start:end])
+    start, end = corrupt_range(len(file.current))
+    file.current[start:end] = bytes(b ^ 0xFF for b in file.current[start:end])
     recovered = recover(disk)
     assert (bool(recovered.damage), bool(recovered.torn)) == (damage, torn)
     messages: list[str] = []
--- a/tests/test_streams_prompt.py
+++ b/tests/test_streams_prompt.py
@@ -7,7 +7,7 @@
 from raw_peers import FrontSetup, RawConnection, RawClient, request, run_scenario, until
 
 from heathford.platform.exchange import EngineConnection
-from heathford.standin.platform import EVENTS, READ, SECOND, STREAM, chunk
+from heathford.standin.platform import EVENTS, PREFILL_RESPONSE, SECOND, STREAM, chunk
 
 STREAMS = 200
 ROUNDS = 10
@@ -65,7 +65,7 @@
         for number in range(STREAMS):
             clients.append(setup.client())
             clients[-1].send(request(f"c{number}"))
-            (await prefill_engine.wait_for_request(number + 1)).sock.sendall(READ)
+            (await prefill_engine.wait_for_request(number + 1)).sock.sendall(PREFILL_RESPONSE)
             streams.append(await decode_engine.wait_for_request(number + 1))
             streams[-1].sock.sendall(STREAM + chunk(EVENT))
             await until(lambda: clients[-1].read_available().count(EVENT) == 1, "the first event")
--- a/tests/test_system_calls.py
+++ b/tests/test_system_calls.py
@@ -11,7 +11,7 @@
 import pytest
 from raw_peers import FrontSetup, request, run_scenario, until
 
-from heathford.standin.platform import GOOD, READ
+from heathford.standin.platform import DECODE_RESPONSE, PREFILL_RESPONSE
 
 FAILURES = 8
 LOCAL_ERRORS = [errno.EADDRNOTAVAIL, errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM]
@@ -59,8 +59,8 @@
         monkeypatch.setattr(setup.node.loop, "create_connection", failing)
         client = setup.client()
         client.send(request("c0"))
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
-        (await decode_engine.wait_for_request()).sock.sendall(GOOD)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
+        (await decode_engine.wait_for_request()).sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == 1, "the stream's end")
         assert all(not e.failures and not e.cooldowns for e in setup.node.core.router.engines.values())
         pools = setup.node.link.pools
@@ -97,11 +97,11 @@
             patch.setattr(select, "poll", FailingPoll)
             for _ in range(20):
                 await asyncio.sleep(0.01)
-        (await prefill_engine.wait_for_request()).sock.sendall(READ)
+        (await prefill_engine.wait_for_request()).sock.sendall(PREFILL_RESPONSE)
         with monkeypatch.context() as patch:
             patch.setattr(select, "poll", FailingPoll)
             await asyncio.sleep(0.1)
-        (await decode_engine.wait_for_request()).sock.sendall(GOOD)
+        (await decode_engine.wait_for_request()).sock.sendall(DECODE_RESPONSE)
         await until(lambda: client.whole_streams == 1, "the stream's end")
 
     run_scenario(tmp_path, scenario)
--- a/tests/test_tls.py
+++ b/tests/test_tls.py
@@ -28,7 +28,7 @@
     Purpose,
     find_problems,
 )
-from heathford.standin.authority import DAY, NOW, Authority, put
+from heathford.standin.authority import DAY, NOW, Authority, write_key_files
 
 CA, OTHER_CA, EXPIRED_CA = Authority(), Authority(), Authority(NOW - 30 * DAY, NOW - DAY)
 VALID, SECOND = CA.issue(), CA.issue()
@@ -108,8 +108,8 @@
     ],
 )
 def test_a_script_with_invalid_keys_is_refused(tmp_path: Path, line: str, message: str) -> None:
-    put(tmp_path, VALID)
-    put(tmp_path, SECOND, "other")
+    write_key_files(tmp_path, VALID)
+    write_key_files(tmp_path, SECOND, "other")
     local = (Path(__file__).parent.parent / "deploy" / "local.star").read_text()
     path = tmp_path / "script.star"
     path.write_text(f"# keys\n{line}\n{local}")
@@ -128,7 +128,7 @@
 
     def __init__(self, folder: Path, **arguments: Any) -> None:
         self.folder = folder
-        self.keys = KeyFiles(folder, Purpose.SERVER, *put(folder, VALID), **arguments)
+        self.keys = KeyFiles(folder, Purpose.SERVER, *write_key_files(folder, VALID), **arguments)
         assert self.keys.reload() is Action.INSTALL
         self.served = InProcessFront(tls=self.keys.context, most=1000, most_held=10**8)
         self.served.link.pace = 0.1
@@ -170,9 +170,9 @@
         for session in sessions:
             await session.send(message)
             assert "method" in json.loads(await session.recv())  # it streams
-        put(tmp_path, (VALID[0], SECOND[1]))
+        write_key_files(tmp_path, (VALID[0], SECOND[1]))
         assert front.keys.reload() is Action.REJECT and (await front.handshake())[0] == before
-        put(tmp_path, SECOND)
+        write_key_files(tmp_path, SECOND)
         assert front.keys.reload() is Action.INSTALL
         after, _ = await front.handshake()
         assert after != before
@@ -215,7 +215,7 @@
         tls = client_context(OTHER_CA.pem if certificate_of == "untrusting" else CA.pem)
         if certificate_of in ("good", "other's"):
             issuer = CA if certificate_of == "good" else OTHER_CA
-            certificate, key = put(tmp_path, issuer.issue(usage="client"), "client")
+            certificate, key = write_key_files(tmp_path, issuer.issue(usage="client"), "client")
             tls.load_cert_chain(tmp_path / certificate, tmp_path / key)
         client = (
             WebSocketClient([front.ws], tls=tls) if kind == "websocket" else HttpClient([front.http], tls=tls)
@@ -271,9 +271,11 @@
 
         async def answer(exchange: Exchange) -> None:
             requested.append(exchange.path)
-            exchange.whole(200, {"kv_transfer_params": {"x": 1}, "usage": {}})
+            exchange.respond(200, {"kv_transfer_params": {"x": 1}, "usage": {}})
 
-        server_keys = KeyFiles(tmp_path, Purpose.SERVER, *put(tmp_path, CA.issue(names=("engine-1",))))
+        server_keys = KeyFiles(
+            tmp_path, Purpose.SERVER, *write_key_files(tmp_path, CA.issue(names=("engine-1",)))
+        )
         server_keys.reload()
         server = Server(answer, server_keys.context)
         server.open("127.0.0.1")
