--- a/heathford/local/__init__.py
+++ b/heathford/local/__init__.py
@@ -1,1 +1,1 @@
-"""A whole deployment on this machine: processes for the list, the engines and the fronts."""
+"""A whole deployment on this machine, with a process for the registry, each engine and each front node."""
--- a/heathford/standin/__init__.py
+++ b/heathford/standin/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for what heathford talks to: engines and the registry. Each runs as a process of its own."""
+"""Stand-ins for the systems that heathford talks to, which are engines, the registry and discovery."""
--- a/heathford/standin/authority.py
+++ b/heathford/standin/authority.py
@@ -1,4 +1,4 @@
-"""A stand-in authority: keys and certificates for tests and local deployments, for no other use."""
+"""A certificate authority for tests and local deployments only. Its keys protect nothing."""
 
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
@@ -12,10 +12,12 @@
 
 NOW = datetime.now(UTC).replace(microsecond=0)
 DAY = timedelta(days=1)
-USAGES = {"server": ExtendedKeyUsageOID.SERVER_AUTH, "client": ExtendedKeyUsageOID.CLIENT_AUTH}
+EXTENDED_KEY_USAGES = {"server": ExtendedKeyUsageOID.SERVER_AUTH, "client": ExtendedKeyUsageOID.CLIENT_AUTH}
 
 
 class Authority:
+    """A self-signed root certificate, valid from `begins` to `ends`, that issues leaf certificates."""
+
     def __init__(self, begins: datetime = NOW - DAY, ends: datetime = NOW + 365 * DAY) -> None:
         self.key = ec.generate_private_key(ec.SECP256R1())
         self.name = x509.Name([x509.NameAttribute(NameOID.COMMON_NAME, "test authority")])
@@ -40,7 +42,11 @@
         ends: datetime = NOW + 90 * DAY,
         bits: int = 0,
     ) -> tuple[bytes, bytes]:
-        """Certificate and key; bits: of an RSA key."""
+        """Return a new certificate and its private key, both in PEM.
+
+        names: DNS names of the certificate. usage: a key of EXTENDED_KEY_USAGES. bits: size of an RSA key;
+        0 makes a P-256 key instead.
+        """
         key: Any = rsa.generate_private_key(65537, bits) if bits else ec.generate_private_key(ec.SECP256R1())
         builder = (
             x509.CertificateBuilder()
@@ -50,7 +56,7 @@
             .serial_number(x509.random_serial_number())
             .not_valid_before(begins)
             .not_valid_after(ends)
-            .add_extension(x509.ExtendedKeyUsage([USAGES[usage]]), critical=False)
+            .add_extension(x509.ExtendedKeyUsage([EXTENDED_KEY_USAGES[usage]]), critical=False)
         )
         if names:
             builder = builder.add_extension(
@@ -62,8 +68,10 @@
         )
 
 
-def write_key_files(folder: Path, pair: tuple[bytes, bytes], name: str = "front") -> tuple[str, str]:
-    """Writes them; the names of the files."""
-    (folder / f"{name}.pem").write_bytes(pair[0])
-    (folder / f"{name}.key").write_bytes(pair[1])
+def write_key_files(
+    folder: Path, certificate_and_key: tuple[bytes, bytes], name: str = "front"
+) -> tuple[str, str]:
+    """Write a certificate and its key into a folder and return the names of the two files."""
+    (folder / f"{name}.pem").write_bytes(certificate_and_key[0])
+    (folder / f"{name}.key").write_bytes(certificate_and_key[1])
     return f"{name}.pem", f"{name}.key"
--- a/heathford/standin/disk.py
+++ b/heathford/standin/disk.py
@@ -1,8 +1,8 @@
-"""A simulated file system that loses, tears and reorders what is not synced, and fails where told.
+"""A simulated file system that loses, tears and reorders unsynced data, and injects errors and crashes.
 
-What a crash leaves, by the weakest promises of POSIX: of each file what was synced, and of the rest each
-written piece whole, in part, or not at all, in any order (a piece lost between others reads as zeros); of
-names that came or went since the last sync of the folder any may have happened.
+After a crash only the weakest guarantees of POSIX hold. Synced data of a file survives. Each unsynced write
+survives whole, in part, or not at all, in any order (a write lost between others reads as zeros). Any subset
+of the file names created, renamed or removed since the last sync of the folder has taken effect.
 """
 
 import errno
@@ -10,45 +10,49 @@
 from typing import Any
 
 
-class Content:
-    """One file: what is on disk, and pieces that are only in memory."""
+class FileContent:
+    """The content of one file: the bytes on disk and the writes that are only in memory."""
 
     def __init__(self) -> None:
-        self.safe = bytearray()
-        self.pieces: list[tuple[int, bytes]] = []  # where, what
-        self.current = bytearray()  # as the running process sees it
-        self.spoiled = False  # a sync failed: its pieces are gone from memory without being on disk
+        self.durable = bytearray()
+        self.unsynced: list[tuple[int, bytes]] = []  # offset and data of each write
+        self.current = bytearray()  # as the running process reads it
+        self.sync_failed = False  # a failed sync dropped unsynced writes that never reached the disk
 
 
 class Disk:
-    """fail: called before each call with its name and the file's; what it returns is an errno to fail with,
-    0 to go on, or -1 to crash there (CrashError)."""
-
-    def __init__(self, chance: random.Random) -> None:
-        self.chance = chance
-        self.files: dict[str, Content] = {}  # as the process sees the folder
-        self.safe_names: dict[str, Content] = {}  # as the disk has it
-        self.changes: list[tuple[str, str, Content]] = []  # names that came ("+") or went ("-")
-        self.calls = 0
+    """A simulated folder with the interface of `heathford.store.files.Files`.
+
+    fail: called before each operation with the names of the operation and of the file. It returns the errno
+    to fail with, 0 to continue, or -1 to crash there by a CrashError.
+    """
+
+    def __init__(self, rng: random.Random) -> None:
+        self.rng = rng
+        self.files: dict[str, FileContent] = {}  # as the running process sees the folder
+        self.durable_names: dict[str, FileContent] = {}  # as of the last sync of the folder
+        # "+": created, "-": removed or replaced, "=": renamed, with the old and new name joined by a NUL
+        self.unsynced_name_changes: list[tuple[str, str, FileContent]] = []
+        self.call_count = 0
         self.fail: Any = lambda call, name: 0
-        self.room: int | None = None  # bytes left, where bounded
+        self.free_bytes: int | None = None  # None: unlimited
 
-    def called(self, call: str, name: str) -> None:
-        self.calls += 1
+    def before_call(self, call: str, name: str) -> None:
+        self.call_count += 1
         code = self.fail(call, name)
         if code == -1:
-            raise CrashError(f"at call {self.calls}, {call} {name}")
+            raise CrashError(f"at call {self.call_count}, {call} {name}")
         if code:
             raise OSError(code, errno.errorcode.get(code, "error"))
 
-    # heathford.store.files.Files
+    # The interface of heathford.store.files.Files.
 
     def names(self) -> list[str]:
-        self.called("names", "")
+        self.before_call("names", "")
         return sorted(self.files)
 
     def read(self, name: str) -> bytes:
-        self.called("read", name)
+        self.before_call("read", name)
         return bytes(self.files[name].current)
 
     def size(self, name: str) -> int:
@@ -56,88 +60,90 @@
 
     def append(self, name: str, data: bytes) -> None:
         if name not in self.files:
-            self.files[name] = content = Content()
-            self.changes.append(("+", name, content))
+            self.files[name] = content = FileContent()
+            self.unsynced_name_changes.append(("+", name, content))
         content = self.files[name]
-        fits = len(data) if self.room is None else min(len(data), self.room)
+        fitting = len(data) if self.free_bytes is None else min(len(data), self.free_bytes)
         try:
-            self.called("append", name)
+            self.before_call("append", name)
         except (OSError, CrashError):
-            self.put(content, data[: self.chance.randrange(len(data) + 1)])  # a short write
+            self.write(content, data[: self.rng.randrange(len(data) + 1)])  # a short write before the failure
             raise
-        self.put(content, data[:fits])
-        if fits < len(data):
+        self.write(content, data[:fitting])
+        if fitting < len(data):
             raise OSError(errno.ENOSPC, "no space left on device")
 
-    def put(self, content: Content, data: bytes) -> None:
-        if self.room is not None:
-            self.room -= len(data)
-        content.pieces.append((len(content.current), data))
+    def write(self, content: FileContent, data: bytes) -> None:
+        if self.free_bytes is not None:
+            self.free_bytes -= len(data)
+        content.unsynced.append((len(content.current), data))
         content.current += data
 
     def truncate(self, name: str, size: int) -> None:
-        self.called("truncate", name)
+        self.before_call("truncate", name)
         content = self.files[name]
         del content.current[size:]
-        content.pieces = [(at, data[: max(0, size - at)]) for at, data in content.pieces if at < size]
-        del content.safe[size:]
+        content.unsynced = [
+            (offset, data[: max(0, size - offset)]) for offset, data in content.unsynced if offset < size
+        ]
+        del content.durable[size:]
 
     def sync(self, name: str) -> None:
         content = self.files[name]
         try:
-            self.called("sync", name)
+            self.before_call("sync", name)
         except OSError:
-            # What Linux does: the dirty pages are marked clean, and the next sync has nothing to say.
-            content.safe = self.left_of(content)
-            content.pieces, content.spoiled = [], True
+            # As on Linux, a failed fsync marks the dirty pages clean, and the next fsync succeeds.
+            content.durable = self.choose_surviving_bytes(content)
+            content.unsynced, content.sync_failed = [], True
             raise
-        if not content.spoiled:
-            content.safe = bytearray(content.current)
-        content.pieces = []
+        if not content.sync_failed:
+            content.durable = bytearray(content.current)
+        content.unsynced = []
 
     def rename(self, old: str, new: str) -> None:
-        self.called("rename", old)
+        self.before_call("rename", old)
         content = self.files.pop(old)
-        gone = self.files.get(new)
+        replaced = self.files.get(new)
         self.files[new] = content
-        if gone is not None:
-            self.changes.append(("-", new, gone))
-        self.changes += [("=", f"{old}\0{new}", content)]
+        if replaced is not None:
+            self.unsynced_name_changes.append(("-", new, replaced))
+        self.unsynced_name_changes += [("=", f"{old}\0{new}", content)]
 
     def remove(self, name: str) -> None:
-        self.called("remove", name)
+        self.before_call("remove", name)
         content = self.files.pop(name)
-        if self.room is not None:
-            self.room += len(content.current)
-        self.changes.append(("-", name, content))
+        if self.free_bytes is not None:
+            self.free_bytes += len(content.current)
+        self.unsynced_name_changes.append(("-", name, content))
 
     def sync_directory(self) -> None:
-        self.called("sync_names", "")
-        self.safe_names = dict(self.files)
-        self.changes = []
+        self.before_call("sync_names", "")
+        self.durable_names = dict(self.files)
+        self.unsynced_name_changes = []
 
     # Crashes.
 
-    def left_of(self, content: Content) -> bytearray:
-        """What the disk has of a file: all that was synced, and anything of the rest."""
-        left = bytearray(content.safe)
-        for at, data in content.pieces:
-            fate = self.chance.randrange(4)
-            part = data if fate < 2 else data[: self.chance.randrange(len(data) + 1)] if fate == 2 else b""
+    def choose_surviving_bytes(self, content: FileContent) -> bytearray:
+        """Return a random state of a file after a crash: the synced data and some of the unsynced writes."""
+        surviving = bytearray(content.durable)
+        for offset, data in content.unsynced:
+            outcome = self.rng.randrange(4)
+            part = data if outcome < 2 else data[: self.rng.randrange(len(data) + 1)] if outcome == 2 else b""
             if part:
-                left += bytes(max(0, at - len(left)))
-                left[at : at + len(part)] = part
-        return left
+                surviving += bytes(max(0, offset - len(surviving)))
+                surviving[offset : offset + len(part)] = part
+        return surviving
 
     def after_crash(self) -> "Disk":
-        """The disk as the next process finds it."""
-        names = dict(self.safe_names)
-        for what, name, content in self.changes:
-            if self.chance.random() < 0.5:
+        """Return a disk in a random state that the next process may find after a crash."""
+        names = dict(self.durable_names)
+        for change, name, content in self.unsynced_name_changes:
+            if self.rng.random() < 0.5:
                 continue
-            if what == "+":
+            if change == "+":
                 names[name] = content
-            elif what == "-":
+            elif change == "-":
                 if names.get(name) is content:
                     del names[name]
             else:
@@ -145,16 +151,16 @@
                 if names.get(old) is content:
                     del names[old]
                 names[new] = content
-        after = Disk(self.chance)
+        next_disk = Disk(self.rng)
         for name, content in names.items():
-            left = Content()
-            left.safe = self.left_of(content)
-            left.current = bytearray(left.safe)
-            after.files[name] = left
-        after.safe_names = dict(after.files)
-        after.room = self.room
-        return after
+            surviving = FileContent()
+            surviving.durable = self.choose_surviving_bytes(content)
+            surviving.current = bytearray(surviving.durable)
+            next_disk.files[name] = surviving
+        next_disk.durable_names = dict(next_disk.files)
+        next_disk.free_bytes = self.free_bytes
+        return next_disk
 
 
 class CrashError(Exception):
-    """The process ends here."""
+    """The simulated crash of the process."""
--- a/heathford/standin/engine.py
+++ b/heathford/standin/engine.py
@@ -1,7 +1,8 @@
-"""A stand-in engine: slots, queue, memory and steps, served by the published completions API.
+"""A stand-in engine with slots, a queue, memory and steps, served by the published completions API.
 
-A simple model, not a measurement: a step reads up to a chunk of prompt tokens and gives each running answer a
-token; it takes longer the more it reads, the more answers run and the longer their contexts are.
+The timing is a simple model and comes from no real engine. A step prefills up to a chunk of prompt tokens and
+generates one token for each running answer. It takes longer with more prompt tokens, more running answers and
+longer contexts.
 """
 
 import asyncio
@@ -20,29 +21,39 @@
 
 from heathford.standin.server import Exchange, Server
 
-BLOCK = 64  # tokens of a kept block
-TEXT_BLOCK = 256  # bytes of text that stand for a block
-TOMBSTONE = 5.0  # s for which a name let go is remembered: a DELETE may overtake its read
-MOVED_BYTES = 8  # bytes on the wire for a token of state
+BLOCK_TOKENS = 64  # prompt tokens in a block of the prefix cache
+TEXT_BLOCK_BYTES = 256  # bytes of a text prompt that count as one block
+RELEASED_NAME_LIFETIME = 5.0  # s; a release may arrive before its prefill attempt has finished
+STATE_BYTES_PER_TOKEN = 8  # prefill state, on the wire
 
 
-class Work:
-    """One request in the engine."""
+class EngineRequest:
+    """One attempt that the engine runs or queues, and its progress."""
 
     def __init__(
         self, exchange: Exchange, name: str, body: dict[str, Any], tokens: int, blocks: list[bytes]
     ) -> None:
         self.exchange, self.name, self.body, self.tokens, self.blocks = exchange, name, body, tokens, blocks
-        self.kept = 0  # prompt tokens found kept
-        self.unread = 0
-        self.length = 0  # of the answer
-        self.given = 0
+        self.cached_tokens = 0  # prompt tokens found in the prefix cache
+        self.tokens_to_prefill = 0
+        self.answer_length = 0  # tokens
+        self.tokens_generated = 0
         self.seed = ""
-        self.held = tokens
+        self.reserved_tokens = tokens
         self.done = asyncio.Event()
 
 
 class Engine:
+    """The stand-in engine of one process.
+
+    role: "read" prefills only, "write" decodes only, "both" does both. Durations are in s, memory and chunk
+    in tokens. A step takes `step` s if an answer runs, `step_per_stream` s for each running answer, and
+    `step_per_1000_context` s for each 1000 tokens of their contexts; it prefills `read_rate` tokens a second.
+    Prefill states are sent at `move_rate` tokens a second within a rack, `rack_rate` within a zone and
+    `zone_rate` between zones, and are held for `state_life` s. `kept_texts` is the size of the prefix cache
+    in blocks. The cold parameters describe the slow start; see `capacity_factor` and `record_arrival`.
+    """
+
     def __init__(
         self,
         role: str,
@@ -73,149 +84,168 @@
         self.memory, self.bytes_per_token = memory, bytes_per_token
         self.warm_after, self.cold_from = warm_after, cold_from
         self.cold_multiple, self.cold_window = cold_multiple, cold_window
-        self.slots, self.most_queued, self.step = slots, queue, step
+        self.slots, self.max_queued, self.step = slots, queue, step
         self.step_per_stream, self.step_per_context = step_per_stream, step_per_1000_context / 1000
-        self.read_rate, self.most_chunk = read_rate, chunk
-        self.rates = move_rate, rack_rate, zone_rate
-        self.state_life, self.most_kept = state_life, kept_texts
-        self.capacity = 0.0  # sends a second when warm, for the cold rule; 0: not known, never pushed over
-        self.tls: ssl.SSLContext | None = None  # that it serves with
-        self.fetch_tls: ssl.SSLContext | None = None  # that it fetches states with
-        self.server = Server(self.answer)
+        self.read_rate, self.max_chunk = read_rate, chunk
+        self.transfer_rates = move_rate, rack_rate, zone_rate
+        self.state_lifetime, self.max_cached_blocks = state_life, kept_texts
+        self.capacity = 0.0  # requests a second when warm; 0: unknown, no overload while cold
+        self.serve_tls: ssl.SSLContext | None = None  # of the server
+        self.fetch_tls: ssl.SSLContext | None = None  # to fetch prefill states with
+        self.server = Server(self.handle)
         self.port = 0
-        self.started = 0.0  # wall; 0: long warm
-        self.slow = 1.0
-        self.stalled_until = 0.0
-        self.full_to = ""
-        self.cut: list[str] = []  # zones that can't be reached
-        self.stepping: asyncio.Task[None] | None = None
-        self.begin()
-
-    def begin(self) -> None:
-        self.queue: deque[Work] = deque()
-        self.running: list[Work] = []
-        self.waiting = 0  # left in the queue when the last step began; what came since is no queue
-        self.states: dict[str, tuple[Work, float]] = {}
-        self.kept: dict[bytes, None] = {}
-        self.let_go: dict[str, float] = {}
+        self.started = 0.0  # wall clock, s; 0: has been warm for long
+        self.slowdown = 1.0
+        self.stalled_until = 0.0  # wall clock, s
+        self.full_for_model = ""
+        self.unreachable_zones: list[str] = []
+        self.step_task: asyncio.Task[None] | None = None
+        self.reset_state()
+
+    def reset_state(self) -> None:
+        """Drop all requests, held states and caches, as a new process starts without them."""
+        self.queue: deque[EngineRequest] = deque()
+        self.running: list[EngineRequest] = []
+        self.queued_before_step = 0  # excludes requests that arrived during the current step
+        self.held_states: dict[str, tuple[EngineRequest, float]] = {}
+        self.cached_blocks: dict[bytes, None] = {}
+        self.released_at: dict[str, float] = {}
         self.arrivals: deque[float] = deque()
         self.down = False
 
-    def secure(self, serve: ssl.SSLContext, fetch: ssl.SSLContext | None) -> None:
-        self.tls, self.fetch_tls = serve, fetch
-        self.server = Server(self.answer, serve)
+    def use_tls(self, serve: ssl.SSLContext, fetch: ssl.SSLContext | None) -> None:
+        self.serve_tls, self.fetch_tls = serve, fetch
+        self.server = Server(self.handle, serve)
 
     def serve(self) -> None:
         self.server.open(self.address, self.port)
         self.port = self.server.port
-        self.stepping = asyncio.get_running_loop().create_task(self.steps())
+        self.step_task = asyncio.get_running_loop().create_task(self.run_steps())
 
-    # Faults.
+    # Injected faults.
 
-    async def die(self) -> None:
-        self.server.reset_all()
+    async def crash(self) -> None:
+        """Reset all connections and drop all state; the port refuses connections until a restart."""
+        self.server.reset_connections()
         self.server.stop()
-        if self.stepping:
-            self.stepping.cancel()
-        self.begin()
-        self.server = Server(self.answer, self.tls)
+        if self.step_task:
+            self.step_task.cancel()
+        self.reset_state()
+        self.server = Server(self.handle, self.serve_tls)
 
     async def restart(self) -> None:
-        await self.die()
+        await self.crash()
         self.started = time.time()
         self.serve()
 
     @property
-    def part(self) -> float:
-        """The part of its capacity that it can give now."""
+    def capacity_factor(self) -> float:
+        """The share of the full speed that the engine has now, by its warm-up and an injected slowdown."""
         age = time.time() - self.started
         warm = 1.0
         if self.warm_after:
             warm = min(1.0, self.cold_from + (1 - self.cold_from) * age / self.warm_after)
-        return warm / self.slow
+        return warm / self.slowdown
+
+    def record_arrival(self) -> bool:
+        """Record a request's arrival and return whether it overloads the engine while it is cold.
 
-    def pushed(self) -> bool:
-        """Counts an arrival; whether the engine falls over, as one that is cold and gets too much does."""
+        The budget of requests is exceeded only by more than two standard deviations of a Poisson count.
+        """
         now = time.time()
         if not self.capacity or now - self.started >= self.warm_after:
             return False
         self.arrivals.append(now)
         while self.arrivals[0] < now - self.cold_window:
             self.arrivals.popleft()
-        budget = self.cold_multiple * self.part * self.capacity * self.cold_window
+        budget = self.cold_multiple * self.capacity_factor * self.capacity * self.cold_window
         return len(self.arrivals) > budget + 2 * math.sqrt(budget)
 
     # Requests.
 
     @property
-    def used(self) -> int:
-        return sum(w.held + w.given for w in self.running) + sum(w.tokens for w, _ in self.states.values())
-
-    def report(self) -> dict[str, str]:
+    def used_memory(self) -> int:
+        """The memory taken by running requests and held prefill states, in tokens."""
+        return sum(r.reserved_tokens + r.tokens_generated for r in self.running) + sum(
+            r.tokens for r, _ in self.held_states.values()
+        )
+
+    def load_report_headers(self) -> dict[str, str]:
+        """Return the load as an ORCA report in the header `endpoint-load-metrics`."""
         load = {
             "application_utilization": round(len(self.running) / self.slots, 4),
-            "mem_utilization": round(min(1.0, self.used / self.memory), 4),
-            "named_metrics": {"queue": self.waiting, "held": len(self.running) + len(self.states)},
+            "mem_utilization": round(min(1.0, self.used_memory / self.memory), 4),
+            "named_metrics": {
+                "queue": self.queued_before_step,
+                "held": len(self.running) + len(self.held_states),
+            },
         }
         return {"endpoint-load-metrics": "JSON " + orjson.dumps(load).decode()}
 
-    async def answer(self, exchange: Exchange) -> None:
+    async def handle(self, exchange: Exchange) -> None:
+        """Answer a request: a completion, or the fetch or release of a prefill state."""
         path = exchange.path
         if path.startswith("/v1/kv_transfers/"):
             name = path.rpartition("/")[2]
             if exchange.method == "DELETE":
-                self.let_go[name] = time.time()
-                found = self.states.pop(name, None)
-                exchange.respond(204 if found else 404, None)
+                self.released_at[name] = time.time()
+                held_state = self.held_states.pop(name, None)
+                exchange.respond(204 if held_state else 404, None)
             else:
-                await self.hand_over(exchange, name)
+                await self.send_state(exchange, name)
         elif path == "/v1/completions" and exchange.method == "POST":
-            await self.complete(exchange)
+            await self.handle_completion(exchange)
         else:
             exchange.respond(404, {"error": {"code": "not_found"}})
 
-    async def complete(self, exchange: Exchange) -> None:
+    async def handle_completion(self, exchange: Exchange) -> None:
         body = exchange.json()
         name = exchange.headers.get("x-request-id", "")
         if not isinstance(body, dict) or not isinstance(body.get("prompt"), str | list):
             exchange.respond(400, {"error": {"code": "bad_request"}})
             return
-        if self.pushed():
+        if self.record_arrival():
             self.down = True
         if self.down:
-            await self.die()
+            await self.crash()
             return
-        tokens, blocks = self.measure(body["prompt"])
-        work = Work(exchange, name, body, tokens, blocks)
-        if (self.full_to and body.get("model") == self.full_to) or len(self.queue) >= self.most_queued:
-            exchange.respond(503, {"error": {"code": "full"}}, {"Retry-After": "1", **self.report()})
+        tokens, blocks = self.tokens_and_blocks(body["prompt"])
+        request = EngineRequest(exchange, name, body, tokens, blocks)
+        if (self.full_for_model and body.get("model") == self.full_for_model) or len(
+            self.queue
+        ) >= self.max_queued:
+            exchange.respond(
+                503, {"error": {"code": "full"}}, {"Retry-After": "1", **self.load_report_headers()}
+            )
             return
         kv = body.get("kv_transfer_params") or {}
-        work.seed = blake2b(orjson.dumps(body["prompt"]), digest_size=4).hexdigest()
-        most = max(1, int(body.get("max_tokens") or 16))
-        work.length = 1 + int(work.seed, 16) % most if self.role != "read" else 0
+        request.seed = blake2b(orjson.dumps(body["prompt"]), digest_size=4).hexdigest()
+        max_tokens = max(1, int(body.get("max_tokens") or 16))
+        request.answer_length = 1 + int(request.seed, 16) % max_tokens if self.role != "read" else 0
         if kv.get("do_remote_prefill"):
-            if not await self.fetch(kv, work):
-                if not exchange.gone:
-                    exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.report())
+            if not await self.fetch_state(kv, request):
+                if not exchange.peer_closed:
+                    exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.load_report_headers())
                 return
         elif self.role == "write":
-            exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.report())
+            exchange.respond(410, {"error": {"code": "kv_state_gone"}}, self.load_report_headers())
             return
         else:
-            found = next((n for n, block in enumerate(blocks) if block not in self.kept), len(blocks))
-            work.kept = min(found * BLOCK, tokens - 1)
-            work.unread = tokens - work.kept
-        self.queue.append(work)
-        await work.done.wait()
-
-    def measure(self, prompt: str | list[int]) -> tuple[int, list[bytes]]:
-        """Tokens of a prompt, and a name for each whole block that tells all before it too."""
+            cached_block_count = next(
+                (n for n, block in enumerate(blocks) if block not in self.cached_blocks), len(blocks)
+            )
+            request.cached_tokens = min(cached_block_count * BLOCK_TOKENS, tokens - 1)
+            request.tokens_to_prefill = tokens - request.cached_tokens
+        self.queue.append(request)
+        await request.done.wait()
+
+    def tokens_and_blocks(self, prompt: str | list[int]) -> tuple[int, list[bytes]]:
+        """Return the number of tokens and, for each whole block, a hash of the prompt up to its end."""
         if isinstance(prompt, str):
-            data, size = prompt.encode("utf-8", "surrogatepass"), TEXT_BLOCK
+            data, size = prompt.encode("utf-8", "surrogatepass"), TEXT_BLOCK_BYTES
             tokens = ceil(len(data) / self.bytes_per_token)
         else:
-            data, size, tokens = b"".join(t.to_bytes(8) for t in prompt), 8 * BLOCK, len(prompt)
+            data, size, tokens = b"".join(t.to_bytes(8) for t in prompt), 8 * BLOCK_TOKENS, len(prompt)
         chain = blake2b(digest_size=8)
         blocks = []
         for at in range(0, len(data) - size + 1, size):
@@ -223,35 +253,37 @@
             blocks.append(chain.digest())
         return tokens, blocks
 
-    def keep(self, blocks: list[bytes]) -> None:
+    def cache_blocks(self, blocks: list[bytes]) -> None:
         for block in blocks:
-            self.kept.pop(block, None)
-            self.kept[block] = None
-        while len(self.kept) > self.most_kept:
-            del self.kept[next(iter(self.kept))]
+            self.cached_blocks.pop(block, None)
+            self.cached_blocks[block] = None
+        while len(self.cached_blocks) > self.max_cached_blocks:
+            del self.cached_blocks[next(iter(self.cached_blocks))]
 
-    # States.
+    # Prefill states.
 
-    async def hand_over(self, exchange: Exchange, name: str) -> None:
-        found = self.states.get(name)
-        if not found:
+    async def send_state(self, exchange: Exchange, name: str) -> None:
+        """Send a held prefill state at the transfer rate to the engine that fetches it, then drop it."""
+        held_state = self.held_states.get(name)
+        if not held_state:
             exchange.respond(404, None)
             return
         zone, rack = exchange.headers.get("x-zone"), exchange.headers.get("x-rack")
-        rate = self.rates[0 if rack == self.rack else 1 if zone == self.zone else 2]
-        left = found[0].tokens * MOVED_BYTES
+        rate = self.transfer_rates[0 if rack == self.rack else 1 if zone == self.zone else 2]
+        left = held_state[0].tokens * STATE_BYTES_PER_TOKEN
         exchange.head(200, {"Content-Length": str(left)})
-        while left and not exchange.gone:
-            part = min(left, ceil(rate * MOVED_BYTES * 0.005))
-            await asyncio.sleep(part / MOVED_BYTES / rate)
+        while left and not exchange.peer_closed:
+            part = min(left, ceil(rate * STATE_BYTES_PER_TOKEN * 0.005))
+            await asyncio.sleep(part / STATE_BYTES_PER_TOKEN / rate)
             exchange.write(bytes(part))
             left -= part
-        if not exchange.gone:
-            self.states.pop(name, None)
+        if not exchange.peer_closed:
+            self.held_states.pop(name, None)
 
-    async def fetch(self, kv: dict[str, Any], work: Work) -> bool:
+    async def fetch_state(self, kv: dict[str, Any], request: EngineRequest) -> bool:
+        """Fetch the prefill state from the engine that holds it and return whether it came whole."""
         host, port, name = kv.get("remote_host"), kv.get("remote_port"), kv.get("remote_request_id")
-        if kv.get("remote_zone") in self.cut and kv.get("remote_zone") != self.zone:
+        if kv.get("remote_zone") in self.unreachable_zones and kv.get("remote_zone") != self.zone:
             return False
         stream: IOStream | None = None
         try:
@@ -265,10 +297,10 @@
             head = (await stream.read_until(b"\r\n\r\n")).decode("latin-1")
             if " 200 " not in head.split("\r\n")[0]:
                 return False
-            left = work.tokens * MOVED_BYTES
+            left = request.tokens * STATE_BYTES_PER_TOKEN
             while left:
                 left -= len(await stream.read_bytes(min(left, 65536), partial=True))
-                if work.exchange.gone:
+                if request.exchange.peer_closed:
                     return False
             return True
         except (TimeoutError, StreamClosedError, OSError, ValueError):
@@ -279,162 +311,170 @@
 
     # Steps.
 
-    async def steps(self) -> None:
+    async def run_steps(self) -> None:
+        """Run the engine's steps until cancelled, and expire held states and released names between them."""
         while True:
             now = time.time()
-            for name, (_, until) in list(self.states.items()):
-                if until < now:
-                    del self.states[name]
-            for name, at in list(self.let_go.items()):
-                if at < now - TOMBSTONE:
-                    del self.let_go[name]
+            for name, (_, expires_at) in list(self.held_states.items()):
+                if expires_at < now:
+                    del self.held_states[name]
+            for name, at in list(self.released_at.items()):
+                if at < now - RELEASED_NAME_LIFETIME:
+                    del self.released_at[name]
             if now < self.stalled_until:
                 await asyncio.sleep(0.01)
                 continue
-            self.drop_gone()
+            self.drop_cancelled()
             self.admit()
-            self.waiting = len(self.queue)
+            self.queued_before_step = len(self.queue)
             if not self.running:
                 await asyncio.sleep(0.002)
                 continue
-            read = self.read_some()
-            streams = [w for w in self.running if not w.unread and w.length]
-            context = sum(w.tokens + w.given for w in streams)
+            read = self.prefill_chunk()
+            streams = [r for r in self.running if not r.tokens_to_prefill and r.answer_length]
+            context = sum(r.tokens + r.tokens_generated for r in streams)
             took = (
                 self.step * bool(streams)
                 + self.step_per_stream * len(streams)
                 + self.step_per_context * context
                 + read / self.read_rate
             )
-            await asyncio.sleep(max(took, 0.0005) / self.part)
-            self.give(streams)
+            await asyncio.sleep(max(took, 0.0005) / self.capacity_factor)
+            self.generate_tokens(streams)
 
-    def drop_gone(self) -> None:
-        for work in [w for w in (*self.queue, *self.running) if w.exchange.gone]:
-            if work in self.running:
-                self.running.remove(work)
+    def drop_cancelled(self) -> None:
+        for request in [r for r in (*self.queue, *self.running) if r.exchange.peer_closed]:
+            if request in self.running:
+                self.running.remove(request)
             else:
-                self.queue.remove(work)
-            work.done.set()
+                self.queue.remove(request)
+            request.done.set()
 
     def admit(self) -> None:
         while (
             self.queue
             and len(self.running) < self.slots
-            and (not self.running or self.used + self.queue[0].tokens < self.memory)
+            and (not self.running or self.used_memory + self.queue[0].tokens < self.memory)
         ):
             self.running.append(self.queue.popleft())
 
-    def read_some(self) -> int:
-        left = self.most_chunk
-        for work in self.running:
-            part = min(left, work.unread)
-            work.unread -= part
+    def prefill_chunk(self) -> int:
+        """Prefill up to a chunk of tokens of the running requests and return how many."""
+        left = self.max_chunk
+        for request in self.running:
+            part = min(left, request.tokens_to_prefill)
+            request.tokens_to_prefill -= part
             left -= part
             if not left:
                 break
-        return self.most_chunk - left
-
-    def give(self, streams: list[Work]) -> None:
-        for work in list(self.running):
-            if self.role == "read" and not work.unread:
-                self.running.remove(work)
-                self.finish_read(work)
-        for work in streams:
-            if work.exchange.gone or work not in self.running:
+        return self.max_chunk - left
+
+    def generate_tokens(self, streams: list[EngineRequest]) -> None:
+        """Finish the prefill attempts that are done, and send one token of each running answer."""
+        for request in list(self.running):
+            if self.role == "read" and not request.tokens_to_prefill:
+                self.running.remove(request)
+                self.finish_prefill(request)
+        for request in streams:
+            if request.exchange.peer_closed or request not in self.running:
                 continue
-            if not work.given:
-                self.keep(work.blocks)
-                work.exchange.head(
+            if not request.tokens_generated:
+                self.cache_blocks(request.blocks)
+                request.exchange.head(
                     200,
                     {
                         "Content-Type": "text/event-stream",
                         "Transfer-Encoding": "chunked",
                         "Trailer": "endpoint-load-metrics",
-                        **self.report(),
+                        **self.load_report_headers(),
                     },
                 )
-            work.given += 1
-            last = work.given == work.length
+            request.tokens_generated += 1
+            last = request.tokens_generated == request.answer_length
             choice = {
                 "index": 0,
-                "text": f" {work.seed}-{work.given}",
+                "text": f" {request.seed}-{request.tokens_generated}",
                 "finish_reason": "stop" if last else None,
             }
             event: dict[str, Any] = {"object": "text_completion", "choices": [choice]}
             if last:
-                event["usage"] = self.usage(work)
-            work.exchange.chunk(b"data: " + orjson.dumps(event) + b"\n\n")
+                event["usage"] = self.usage(request)
+            request.exchange.chunk(b"data: " + orjson.dumps(event) + b"\n\n")
             if last:
-                self.running.remove(work)
-                work.exchange.chunk(b"data: [DONE]\n\n")
-                work.exchange.end(self.report())
-                work.done.set()
-
-    def finish_read(self, work: Work) -> None:
-        self.keep(work.blocks)
-        if not work.exchange.gone and work.name not in self.let_go:
-            self.states[work.name] = work, time.time() + self.state_life
-            work.exchange.respond(
+                self.running.remove(request)
+                request.exchange.chunk(b"data: [DONE]\n\n")
+                request.exchange.end(self.load_report_headers())
+                request.done.set()
+
+    def finish_prefill(self, request: EngineRequest) -> None:
+        """Answer a prefill attempt and hold its state, unless it was cancelled or released before."""
+        self.cache_blocks(request.blocks)
+        if not request.exchange.peer_closed and request.name not in self.released_at:
+            self.held_states[request.name] = request, time.time() + self.state_lifetime
+            request.exchange.respond(
                 200,
                 {
                     "object": "text_completion",
                     "choices": [],
-                    "usage": self.usage(work),
+                    "usage": self.usage(request),
                     "kv_transfer_params": {
                         "do_remote_prefill": True,
                         "do_remote_decode": False,
                         "remote_engine_id": self.name,
                         "remote_host": self.address,
                         "remote_port": self.port,
-                        "remote_request_id": work.name,
+                        "remote_request_id": request.name,
                         "remote_block_ids": [],
                         "remote_zone": self.zone,
                     },
                 },
-                self.report(),
+                self.load_report_headers(),
             )
-        work.done.set()
+        request.done.set()
 
-    def usage(self, work: Work) -> dict[str, Any]:
+    def usage(self, request: EngineRequest) -> dict[str, Any]:
         return {
-            "prompt_tokens": work.tokens,
-            "completion_tokens": work.given,
-            "total_tokens": work.tokens + work.given,
-            "prompt_tokens_details": {"cached_tokens": work.kept},
+            "prompt_tokens": request.tokens,
+            "completion_tokens": request.tokens_generated,
+            "total_tokens": request.tokens + request.tokens_generated,
+            "prompt_tokens_details": {"cached_tokens": request.cached_tokens},
         }
 
-    # Commands.
+    # Commands of tests and scripted days.
 
-    async def command(self, exchange: Exchange) -> None:
-        said = exchange.json() or {}
-        do = said.get("do")
+    async def handle_command(self, exchange: Exchange) -> None:
+        """Inject the fault that the JSON command asks for, and answer with the engine's state."""
+        command = exchange.json() or {}
+        do = command.get("do")
         if do == "die":
-            await self.die()
+            await self.crash()
         elif do == "restart":
             await self.restart()
         elif do == "silent":
-            self.server.silent = bool(said["on"])
+            self.server.silent = bool(command["on"])
         elif do == "stall":
-            self.stalled_until = time.time() + float(said["for"])
+            self.stalled_until = time.time() + float(command["for"])
         elif do == "slow":
-            self.slow = float(said["times"])
+            self.slowdown = float(command["times"])
         elif do == "forget":
-            self.kept = {}
+            self.cached_blocks = {}
         elif do == "full_to":
-            self.full_to = str(said["workload"])
+            self.full_for_model = str(command["workload"])
         elif do == "cut":
-            self.cut = list(said["zones"])
+            self.unreachable_zones = list(command["zones"])
         elif do == "capacity":
-            self.capacity = float(said["sends"])
+            self.capacity = float(command["sends"])
         elif do == "states":
-            exchange.respond(200, {"states": list(self.states), "running": [w.name for w in self.running]})
+            exchange.respond(
+                200, {"states": list(self.held_states), "running": [r.name for r in self.running]}
+            )
             return
         else:
             exchange.respond(400, {"error": f"unknown command {do!r}"})
             return
-        exchange.respond(200, {"started": start_text(self.started), "down": self.down})
+        exchange.respond(200, {"started": utc_text(self.started), "down": self.down})
 
 
-def start_text(wall: float) -> str:
-    return datetime.fromtimestamp(wall, UTC).isoformat()
+def utc_text(seconds: float) -> str:
+    """Return a wall-clock time in s since the epoch in ISO 8601."""
+    return datetime.fromtimestamp(seconds, UTC).isoformat()
--- a/heathford/standin/link.py
+++ b/heathford/standin/link.py
@@ -1,5 +1,7 @@
-"""A link without engines: reads at once and answers as many tokens as asked for. For tests of what stands
-before the core, and for measuring it alone."""
+"""A link without engines: it prefills at once and answers with as many tokens as the request allows.
+
+Tests and benchmarks use it for the parts of a front node between the clients and the core.
+"""
 
 import asyncio
 from collections.abc import Mapping
@@ -11,17 +13,20 @@
 
 
 class AnsweringLink(NoLivenessCheck):
-    """While `held` it says nothing. pace: s between tokens; 0: all at once."""
+    """An engine link whose attempts all succeed at once, and send nothing while `paused`.
+
+    pace: time between tokens in s; 0 sends all at once.
+    """
 
-    may_read_late = False  # its engine is in this process
+    may_read_late = False  # an attempt arrives at once, as its engine is in this process
 
     def __init__(self, pace: float = 0.0) -> None:
         self.pace = pace
         self.transfers = TransferRates()
         self.paused = False
-        self.breaks = 0  # a stream of so many tokens at the most breaks off at its first
-        self.size, self.token = 1, "t"  # characters of a token
-        self.calls: list[AnsweringCall] = []  # those that are out, and with `keep` those that were
+        self.break_at_max_tokens = 0  # max_tokens of requests that break after the first token
+        self.size, self.token = 1, "t"  # the text of a token is `token` repeated `size` times
+        self.calls: list[AnsweringCall] = []  # those in flight, and with `keep` also those that ended
         self.keep = False
         self.sent = 0
 
@@ -38,7 +43,7 @@
         call = AnsweringCall(self, endpoint, body, events)
         self.calls.append(call)
         self.sent += 1
-        asyncio.get_running_loop().call_soon(call.go)
+        asyncio.get_running_loop().call_soon(call.send_events)
         return call
 
     def release(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
@@ -46,6 +51,8 @@
 
 
 class AnsweringCall:
+    """One attempt over the link."""
+
     def __init__(self, link: AnsweringLink, endpoint: Endpoint, body: Any, events: CallEvents) -> None:
         self.link, self.endpoint, self.body, self.events = link, endpoint, body, events
         self.cancelled = False
@@ -53,46 +60,47 @@
 
     def cancel(self) -> None:
         self.cancelled = True
-        self.done()
+        self.unregister()
         self.events.ended(Outcome.CANCELLED, 0, {}, {})
 
     def is_progressing(self) -> bool:
-        """What was sent has arrived, here."""
+        """Return False: the attempt arrived at once, so no bytes are on the way."""
         return False
 
     def give_up_unless_arrived(self) -> Arrival:
-        """What was sent has arrived, here."""
+        """Return that the attempt has arrived, as every attempt does at once."""
         return Arrival.CONFIRMED
 
     def withdraw(self) -> None:
-        """What was sent here has begun."""
+        """Do nothing, as every attempt has begun already."""
 
-    def done(self) -> None:
+    def unregister(self) -> None:
         if not self.link.keep:
             self.link.calls.remove(self)
 
-    def go(self) -> None:
+    def send_events(self) -> None:
+        """Pass on the next events of the attempt, unless it is cancelled or the link is paused."""
         if self.link.paused or self.cancelled:
             return
         if self.endpoint.role is Role.PREFILL:
-            self.done()
+            self.unregister()
             self.events.ended(Outcome.PREFILLED, 0, {}, {"kv": {"x": 1}})
             return
         if not self.tokens_sent:
             self.events.first_token()
-        most = self.body["max_tokens"]
-        if most == self.link.breaks:
-            self.done()
+        max_tokens = self.body["max_tokens"]
+        if max_tokens == self.link.break_at_max_tokens:
+            self.unregister()
             self.events.ended(Outcome.BROKEN, 0, {}, {})
             return
-        while self.tokens_sent < most and not self.cancelled:
+        while self.tokens_sent < max_tokens and not self.cancelled:
             self.tokens_sent += 1
             self.events.tokens(self.link.token * self.link.size)
-            if self.link.pace and self.tokens_sent < most:
-                asyncio.get_running_loop().call_later(self.link.pace, self.go)
+            if self.link.pace and self.tokens_sent < max_tokens:
+                asyncio.get_running_loop().call_later(self.link.pace, self.send_events)
                 return
         if not self.cancelled:
-            self.done()
+            self.unregister()
             self.events.ended(
                 Outcome.FINISHED, 0, {}, {"reason": "stop", "usage": {"completion_tokens": self.tokens_sent}}
             )
--- a/heathford/standin/platform.py
+++ b/heathford/standin/platform.py
@@ -1,8 +1,12 @@
-"""Stand-ins of the platform's protocol: an engine whose answers are scripted, and discovery's agent.
-
-An engine answers each request by the next step of its script, or well once that is used up. A step is a word
-of WORDS or BREAKS; "hold", which waits for `held` and answers well; "spoil", which begins, waits and goes on
-with noise; or bytes that are written as they are, after which the connection stays open.
+"""Stand-ins for the platform's protocol: an engine with scripted responses, and the discovery agent.
+
+An engine answers each request by the next step of its script, or successfully once the script is used up. A
+step is one of these:
+- a key of RESPONSES
+- a key of RESPONSES_BEFORE_CLOSE, after whose bytes the connection is closed
+- "hold", which waits for the event `resume` and then succeeds
+- "spoil", which starts a stream, waits for `resume` and continues with invalid bytes
+- bytes that are written as they are, after which the connection stays open
 """
 
 import asyncio
@@ -14,8 +18,8 @@
 from heathford.wire.requests import RequestError, Request
 
 MS = 1_000_000  # ns
-SECOND = 1_000 * MS
-LONGEST = 1 << 20  # bytes of a head or a body
+SECOND = 1_000 * MS  # ns
+MAX_REQUEST_PART_BYTES = 1 << 20  # each of head and body
 EVENTS = [
     b'data: {"choices":[{"index":0,"delta":{"content":"ab"},"finish_reason":null}]}\n\n',
     b'data: {"choices":[{"index":0,"delta":{"content":"cd"},"finish_reason":"stop"}]}\n\n',
@@ -24,7 +28,7 @@
     b"data: [DONE]\n\n",
 ]
 STREAM = b"HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n"
-REJECTED = "X-Rejected: 1\r\n"
+REJECTED_HEADER = "X-Rejected: 1\r\n"
 
 
 def chunk(data: bytes) -> bytes:
@@ -34,8 +38,8 @@
 DECODE_RESPONSE = STREAM + b"".join(map(chunk, EVENTS)) + b"0\r\n\r\n"
 
 
-def build_response(status: int, body: bytes = b"", more: str = "") -> bytes:
-    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{more}\r\n".encode() + body
+def build_response(status: int, body: bytes = b"", extra_headers: str = "") -> bytes:
+    return f"HTTP/1.1 {status} X\r\nContent-Length: {len(body)}\r\n{extra_headers}\r\n".encode() + body
 
 
 PREFILL_RESPONSE = build_response(202, b'{"cached_tokens":4}')
@@ -43,34 +47,35 @@
     "read": PREFILL_RESPONSE,
     "good": DECODE_RESPONSE,
     "error": build_response(500),
-    "full": build_response(503, more=REJECTED),
-    "expired": build_response(504, more=REJECTED),
+    "full": build_response(503, extra_headers=REJECTED_HEADER),
+    "expired": build_response(504, extra_headers=REJECTED_HEADER),
     "busy": build_response(503),
-    "gone": build_response(410, more=REJECTED),
-    "begin": STREAM + chunk(EVENTS[0]),  # and no more
+    "gone": build_response(410, extra_headers=REJECTED_HEADER),
+    "begin": STREAM + chunk(EVENTS[0]),  # the stream does not continue
     "silent": b"",
 }
-BREAKS = {"reset": b"", "break": STREAM + chunk(EVENTS[0])}  # what comes before the connection ends
+RESPONSES_BEFORE_CLOSE = {"reset": b"", "break": STREAM + chunk(EVENTS[0])}
 
 
 class StandInServer:
-    """A server of whole requests, one after the other on a connection."""
+    """Base class of servers that read whole requests, one after the other on each connection."""
 
     def __init__(self) -> None:
         self.server: asyncio.Server | None = None
         self.address = ""
         self.writers: dict[asyncio.StreamWriter, None] = {}
-        self.connected = 0
+        self.accepted_connections = 0  # connections accepted so far
 
     async def open(self, port: int = 0) -> str:
+        """Start to listen and return the address; port 0 takes an ephemeral port."""
         self.server = await asyncio.start_server(self.serve, "127.0.0.1", port)
         self.address = f"127.0.0.1:{self.server.sockets[0].getsockname()[1]}"
         return self.address
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.writers[writer] = None
-        self.connected += 1
-        request = Request(LONGEST, LONGEST)
+        self.accepted_connections += 1
+        request = Request(MAX_REQUEST_PART_BYTES, MAX_REQUEST_PART_BYTES)
         try:
             while True:
                 request.feed(b"")
@@ -81,7 +86,7 @@
                     request.feed(data)
                 await self.answer(request, writer)
                 await writer.drain()
-                request = Request(LONGEST, LONGEST, request.rest)
+                request = Request(MAX_REQUEST_PART_BYTES, MAX_REQUEST_PART_BYTES, request.rest)
         except (RequestError, OSError):
             return
         finally:
@@ -89,6 +94,7 @@
             writer.close()
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
+        """Write the response to a whole request."""
         raise NotImplementedError
 
     def close(self) -> None:
@@ -99,20 +105,23 @@
 
 
 class ScriptedEngine(StandInServer):
-    def __init__(self, uid: str, model: str, reads: bool, *script: str | bytes) -> None:
+    """An engine that answers by the steps of its script and records the requests it receives."""
+
+    def __init__(self, uid: str, model: str, is_prefill: bool, *script: str | bytes) -> None:
         super().__init__()
-        self.uid, self.model, self.is_prefill = uid, model, reads
+        self.uid, self.model, self.is_prefill = uid, model, is_prefill
         self.script = list(script)
-        self.received_requests: list[tuple[str, str]] = []  # method and id, as they came
+        self.received_requests: list[tuple[str, str]] = []  # method and request id, in order
         self.bodies: list[bytes] = []
         self.request_headers: list[Mapping[str, str]] = []
-        self.came = asyncio.Condition()
-        self.resume = asyncio.Event()  # what "hold" waits for before it answers well
+        self.request_received = asyncio.Condition()
+        self.resume = asyncio.Event()  # the steps "hold" and "spoil" wait for it
         self.state = "SERVING"
-        self.boot_ms = 0
+        self.boot_ms = 0  # ms since the epoch; 0: warm
 
     @property
     def row(self) -> dict[str, Any]:
+        """The engine's entry of the endpoint list."""
         return {
             "uid": self.uid,
             "endpoint": self.address,
@@ -125,32 +134,34 @@
         }
 
     async def wait_for_requests(self, count: int, method: str = "POST") -> None:
-        """Until that many requests of the method have come."""
-        async with self.came:
-            await self.came.wait_for(lambda: sum(m == method for m, _ in self.received_requests) >= count)
+        """Wait until at least `count` requests of the method have been received."""
+        async with self.request_received:
+            await self.request_received.wait_for(
+                lambda: sum(m == method for m, _ in self.received_requests) >= count
+            )
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         name = request.headers.get("x-call-id", request.target.rpartition("/")[2])
         self.received_requests.append((request.method, name))
-        async with self.came:
-            self.came.notify_all()
+        async with self.request_received:
+            self.request_received.notify_all()
         if request.method == "DELETE":
             writer.write(b"HTTP/1.1 204 No Content\r\n\r\n")
             return
         self.bodies.append(bytes(request.body))
         self.request_headers.append(request.headers)
-        well = "read" if self.is_prefill else "good"
-        step = self.script.pop(0) if self.script else well
+        default_step = "read" if self.is_prefill else "good"
+        step = self.script.pop(0) if self.script else default_step
         if step == "hold":
             await self.resume.wait()
-            step = well
+            step = default_step
         if step == "spoil":
             writer.write(RESPONSES["begin"])
             await self.resume.wait()
             step = b"zz\r\n"
-        if step in BREAKS:
+        if step in RESPONSES_BEFORE_CLOSE:
             assert isinstance(step, str)
-            writer.write(BREAKS[step])
+            writer.write(RESPONSES_BEFORE_CLOSE[step])
             await writer.drain()
             writer.close()
         else:
@@ -158,45 +169,52 @@
 
 
 class DiscoveryAgent(StandInServer):
-    """Discovery as it is seen from a front's machine."""
+    """The discovery agent on a front node's machine, which serves the endpoint list and its changes."""
 
     def __init__(self, *engines: ScriptedEngine) -> None:
         super().__init__()
         self.version = 1
         self.engines = list(engines)
         self.watchers: dict[asyncio.StreamWriter, None] = {}
-        self.watched = asyncio.Condition()
+        self.watcher_added = asyncio.Condition()
         self.silent = False
-        self.unanswered = 0  # so many calls next get no answer
+        self.unanswered = 0  # so many of the next requests get no answer
 
-    def list_message(self, complete: bool, rows: list[dict[str, Any]]) -> bytes:
-        return orjson.dumps({"rev": self.version, "all": complete, "targets": rows})
+    def list_message(self, complete: bool, entries: list[dict[str, Any]]) -> bytes:
+        """Return a snapshot of the endpoint list (complete) or a change of it as JSON."""
+        return orjson.dumps({"rev": self.version, "all": complete, "targets": entries})
 
     async def answer(self, request: Request, writer: asyncio.StreamWriter) -> None:
         if self.silent or self.unanswered:
             self.unanswered -= bool(self.unanswered)
             await asyncio.Event().wait()
-        rows = self.list_message(True, [e.row for e in self.engines])
+        message = self.list_message(True, [e.row for e in self.engines])
         if "follow=1" not in request.target:
-            writer.write(build_response(200, rows))
+            writer.write(build_response(200, message))
             return
-        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(rows + b"\n"))
+        writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(message + b"\n"))
         self.watchers[writer] = None
-        async with self.watched:
-            self.watched.notify_all()
+        async with self.watcher_added:
+            self.watcher_added.notify_all()
 
     async def wait_for_watchers(self, count: int = 1) -> None:
-        async with self.watched:
-            await self.watched.wait_for(lambda: len(self.watchers) >= count)
+        """Wait until so many watches have begun; ended watches count too."""
+        async with self.watcher_added:
+            await self.watcher_added.wait_for(lambda: len(self.watchers) >= count)
 
-    def send_change(self, *rows: dict[str, Any], complete: bool = False) -> None:
+    def send_change(self, *entries: dict[str, Any], complete: bool = False) -> None:
+        """Send a new version of the list to all watchers: the changed entries, or the complete list."""
         self.version += 1
         for writer in self.watchers:
-            writer.write(chunk(self.list_message(complete, list(rows)) + b"\n"))
+            writer.write(chunk(self.list_message(complete, list(entries)) + b"\n"))
 
 
 def settings(**limits: Any) -> dict[str, Any]:
-    """As a front node is told them: two kinds of engine, one workload of each effect."""
+    """Return a front node's settings for two kinds of engine, prefill and decode, and two workloads.
+
+    Requests of the workload "chat" are idempotent, those of "booking" are not. limits: entries added to or
+    changed in "policyLimits".
+    """
 
     def category(name: str, effect: str) -> dict[str, Any]:
         return {
--- a/heathford/terminal/__init__.py
+++ b/heathford/terminal/__init__.py
@@ -1,1 +1,1 @@
-"""The terminal interface of `heathford try`; needs the extra `terminal`."""
+"""The terminal interface of `heathford try`, which needs the extra `terminal`."""
--- a/heathford/terminal/app.py
+++ b/heathford/terminal/app.py
@@ -1,4 +1,4 @@
-"""Several prompts side by side, their streams, final answers and guidance; by Textual."""
+"""Textual application that shows several prompts side by side, with their streams and final answers."""
 
 import asyncio
 import time
@@ -13,11 +13,11 @@
 from heathford.client.base import Client
 from heathford.terminal.board import Board, Panel, prompts_of
 
-MOST = 12  # panels shown: more can't be read side by side
+MAX_PANELS = 12  # more can't be read side by side
 
 
 class PanelView(VerticalScroll):
-    """A panel on the screen."""
+    """The widget of one panel."""
 
     def __init__(self, panel: Panel) -> None:
         super().__init__()
@@ -37,6 +37,7 @@
         self.show()
 
     def show(self) -> None:
+        """Update the widget from the panel's state."""
         panel = self.panel
         self.heading.update(panel.heading)
         self.text.update(panel.text)
@@ -46,7 +47,11 @@
 
 
 class TryApp(App[None]):
-    """make: the client, made once the terminal's loop runs."""
+    """The application of `heathford try`.
+
+    make_client: called once Textual's event loop runs. models: names of the workloads. max_tokens and timeout
+    (s) apply to each prompt.
+    """
 
     CSS = """
     Grid { grid-size: 3; grid-gutter: 1; }
@@ -57,18 +62,23 @@
     .prompt { color: $text-muted; }
     .end { text-style: italic; }
     """
-    BINDINGS = [  # noqa: RUF012 - Textual's own form
+    BINDINGS = [  # noqa: RUF012 - the type that Textual expects
         Binding("escape", "cancel", "Cancel all"),
         Binding("ctrl+l", "clear", "Clear"),
         Binding("ctrl+q", "quit", "Quit"),
     ]
 
     def __init__(
-        self, make: Callable[[], Client], models: list[str], max_tokens: int, timeout: float
+        self, make_client: Callable[[], Client], models: list[str], max_tokens: int, timeout: float
     ) -> None:
         super().__init__()
-        self.make, self.models, self.max_tokens, self.timeout = make, models, max_tokens, timeout
-        self.board = Board(MOST)
+        self.make_client, self.models, self.max_tokens, self.timeout = (
+            make_client,
+            models,
+            max_tokens,
+            timeout,
+        )
+        self.board = Board(MAX_PANELS)
         self.views: dict[int, PanelView] = {}
         self.tasks: dict[int, asyncio.Task[None]] = {}
         self.client: Client | None = None
@@ -82,7 +92,7 @@
 
     def on_mount(self) -> None:
         self.title = "heathford"
-        self.client = self.make()
+        self.client = self.make_client()
         self.sub_title = self.board.summary
         self.query_one(Input).focus()
 
@@ -99,16 +109,18 @@
             await self.ask(model, prompt)
 
     async def ask(self, model: str, prompt: str) -> None:
-        panel, gone = self.board.ask(model, prompt, time.monotonic())
-        if gone:
-            await self.views.pop(gone.number).remove()
+        """Send a prompt and show it in a new panel, which may remove the oldest ended one."""
+        panel, removed = self.board.ask(model, prompt, time.monotonic())
+        if removed:
+            await self.views.pop(removed.number).remove()
         view = self.views[panel.number] = PanelView(panel)
         await self.query_one(Grid).mount(view)
-        task = asyncio.get_running_loop().create_task(self.run_one(panel, view))
+        task = asyncio.get_running_loop().create_task(self.run_prompt(panel, view))
         self.tasks[panel.number] = task
         task.add_done_callback(lambda _: self.tasks.pop(panel.number, None))
 
-    async def run_one(self, panel: Panel, view: PanelView) -> None:
+    async def run_prompt(self, panel: Panel, view: PanelView) -> None:
+        """Send a panel's prompt and show its stream until the final answer, an error or the cancellation."""
         assert self.client
         self.sub_title = self.board.summary
         try:
@@ -116,11 +128,11 @@
                 panel.model, panel.prompt, max_tokens=self.max_tokens, timeout=self.timeout
             )
             async for part in stream:
-                panel.says(part, time.monotonic())
+                panel.add_text(part, time.monotonic())
                 view.show()
             panel.finished(await stream.result(), time.monotonic())
-        except CompletionError as problem:
-            panel.failed(problem, time.monotonic())
+        except CompletionError as error:
+            panel.failed(error, time.monotonic())
         except asyncio.CancelledError:
             panel.cancelled(time.monotonic())
         view.show()
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -459,7 +459,7 @@
 
 def test_a_line_that_breaks_its_engine_fails_alone(tmp_path: Path) -> None:
     async def scenario(front: FrontRun) -> None:
-        front.served.link.breaks = 13
+        front.served.link.break_at_max_tokens = 13
         batch = await front.create(
             await front.upload(b"\n".join(line(f"c{n}", max_tokens=13 if n == 7 else 2) for n in range(30)))
         )
--- a/tests/test_platform.py
+++ b/tests/test_platform.py
@@ -213,7 +213,7 @@
             == [("POST", f"c{n}") for n in range(3)]
         )
         # Until a connection was reused, which happens some ms after an answer at the earliest.
-        while prefill_engine.connected == len(prefill_engine.received_requests):
+        while prefill_engine.accepted_connections == len(prefill_engine.received_requests):
             client.send(request_bytes(f"d{len(prefill_engine.received_requests)}"))
             assert await client.read_answer() == (200, ALL, True)
         assert (
--- a/tests/test_races_links.py
+++ b/tests/test_races_links.py
@@ -232,7 +232,7 @@
         )
         node = Node("n0", ("127.0.0.1", 0), (host, int(port)), read_configuration(path), path)
         running = asyncio.create_task(node.run())
-        await until(lambda: agent.connected > 0, "the first call")
+        await until(lambda: agent.accepted_connections > 0, "the first call")
         for _ in range(reloads):
             node.reload()
         node.terminate()
--- a/tests/test_sessions.py
+++ b/tests/test_sessions.py
@@ -142,7 +142,7 @@
         await client.send(create(1))
         assert (await receive_answer(client, 1))["error"]["code"] == -32600
         served.link.paused = False
-        served.link.calls[0].go()
+        served.link.calls[0].send_events()
         await assert_finishes(client, 1)
 
     run_scenario(scenario)
@@ -289,7 +289,7 @@
                 await asyncio.sleep(0.001)
             served.link.paused = False
             for call in list(served.link.calls):
-                call.go()
+                call.send_events()
             finals = [await receive_text(client, "k"), await receive_text(second, "k")]
             assert finals[0] == finals[1] and finals[0][0] == "ttttttt"
             # One prefill and one decode attempt.
@@ -343,7 +343,7 @@
             error = (await receive_answer(second, 2))["error"]
             assert error["data"]["final"] == "aborted" and served.core.tally.aborted == 0
         served.link.paused = False
-        served.link.calls[0].go()
+        served.link.calls[0].send_events()
         await assert_finishes(client, 1)
 
     run_scenario(scenario)
@@ -359,7 +359,7 @@
         for key in ("no room", "never"):
             assert (await receive_answer(client, key))["error"]["code"] == -32001
         served.link.paused = False
-        served.link.calls[0].go()
+        served.link.calls[0].send_events()
         order: list[str] = []
         while len(order) < 3:
             message = json.loads(await client.recv())
@@ -386,7 +386,7 @@
             )
         served.link.paused = False
         for call in list(served.link.calls):
-            call.go()
+            call.send_events()
         seen = 0
         while seen < 60:
             seen += "method" not in json.loads(await client.recv())
