--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -178,7 +178,7 @@
 
 def forgets_restarts() -> None:
     """What a store has kept is not looked at."""
-    memory.Memory.restore = lambda self, identities, now: 0  # type: ignore[method-assign]
+    memory.Memory.restore = lambda self, idempotency_table, now: 0  # type: ignore[method-assign]
 
 
 def shares_nothing() -> None:
--- a/heathford/front/memory.py
+++ b/heathford/front/memory.py
@@ -54,7 +54,7 @@
 
     # Restart.
 
-    def restore(self, identities: IdempotencyTable, now: float) -> int:
+    def restore(self, idempotency_table: IdempotencyTable, now: float) -> int:
         """Add the unexpired requests of the store to the table; return their number. now: s of loop time."""
         if self.store is None:
             return 0
@@ -73,10 +73,10 @@
             )
         for remaining, key, body_digest, effect, shared in sorted(records, key=lambda entry: entry[0]):
             tenant, idempotency_key = stored_answers.parse_store_key(key)
-            identities.restore(tenant, idempotency_key, body_digest, effect, shared, now + remaining)
+            idempotency_table.restore(tenant, idempotency_key, body_digest, effect, shared, now + remaining)
         return len(records)
 
-    async def begin(self, tally: Tally) -> None:
+    async def record_start(self, tally: Tally) -> None:
         """Count this start and the requests that the last one left unfinished; start writing counts."""
         if self.store is None:
             return
--- a/heathford/front/process.py
+++ b/heathford/front/process.py
@@ -203,7 +203,7 @@
                 self.store_folder, self.answer_retention, self.serves_without_store
             )
             restored = memory.restore(self.manager.idempotency_table, loop.time())
-            await memory.begin(self.core.tally)
+            await memory.record_start(self.core.tally)
             self.manager.memory = memory
             if self.batch_settings and memory.store:
                 folder = self.script_folder / self.batch_settings.folder / self.front_settings.name
--- a/tests/test_batch.py
+++ b/tests/test_batch.py
@@ -283,7 +283,7 @@
     served = InProcessFront(effect)
     memory = await Memory.open(folder / "store", 600.0, False)
     memory.restore(served.manager.idempotency_table, asyncio.get_running_loop().time())
-    await memory.begin(served.core.tally)
+    await memory.record_start(served.core.tally)
     served.manager.memory = memory
     served.manager.idempotency_table.max_requests = 100_000
     assert memory.store
--- a/tests/test_memory.py
+++ b/tests/test_memory.py
@@ -55,7 +55,7 @@
         served = InProcessFront(effect)
         memory = await Memory.open(folder, 60.0, serves_without_store)
         memory.restore(served.manager.idempotency_table, asyncio.get_running_loop().time())
-        await memory.begin(served.core.tally)
+        await memory.record_start(served.core.tally)
         served.manager.memory = memory
         async with asyncio.timeout(15.0):
             await scenario(FrontRun(served, memory))
