--- a/benchmarks/unguarded_front.py
+++ b/benchmarks/unguarded_front.py
@@ -91,11 +91,11 @@
     SlowStart.is_cold = lambda self, engine: False  # type: ignore[method-assign]
     true = Router.pick_by_hash
 
-    def pair(self: Router, request: Any, role: Any, is_open: Any) -> Any:
+    def pair(self: Router, request: Any, role: Any, is_available: Any) -> Any:
         newest = max(self.pools[role], key=lambda e: e.started, default=None)
         if newest and newest.started > 0 and self.clock.now - newest.started < self.slow_start.warm_after:
             return newest
-        return true(self, request, role, is_open)
+        return true(self, request, role, is_available)
 
     Router.pick_by_hash = pair  # type: ignore[method-assign]
 
--- a/heathford/core/held_state.py
+++ b/heathford/core/held_state.py
@@ -15,7 +15,7 @@
 
     WAITING = "waiting"  # for a decode attempt, or for one in flight to begin to stream
     RELEASING = "releasing"  # engines are asked to release it
-    FETCHED = "taken"  # a decode attempt has begun to stream
+    FETCHED = "taken"  # fetched: a decode attempt has begun to stream
     RELEASED = "released"  # an engine has confirmed it
     NEVER_HELD = "never held"  # the prefill attempt was refused
     UNCONFIRMED = "unconfirmed"  # no engine has confirmed the release in time
@@ -28,14 +28,15 @@
     """Why a state is released."""
 
     POLICY = "the policy lets it go"
-    PREFILL_UNCLEAR = "its prefill attempt ended unseen"
+    PREFILL_UNCLEAR = "its prefill attempt ended unseen"  # the result of the attempt is unknown
+    # It may have succeeded after the first release.
     PREFILL_LATE = "an earlier prefill attempt may have ended well since"
     REQUEST_OVER = "the request was over when its prefill attempt ended"
     DECISION_FAILED = "the request's decision failed"
 
 
 class SignOfLife(Enum):
-    """Whether the engine of an attempt runs whose state is being released."""
+    """Whether the engine of an attempt runs, while the state that the attempt waits for is being released."""
 
     HEARD_SINCE = "its engine was heard since"
     ANSWERS = "its engine answers"
@@ -66,8 +67,8 @@
 class HeldState:
     """The state that one prefill attempt left; a link reports its release (`protocols.ReleaseEvents`).
 
-    since: s on the loop's clock from which the limit counts. record: writes an event, its reason and an
-    engine to the request's history.
+    since: s on the loop's clock from which the limit counts; an answer of the engine restarts it, held_from
+    stays. record: writes an event, its reason and an engine to the request's history.
     """
 
     def __init__(
--- a/heathford/core/protocols.py
+++ b/heathford/core/protocols.py
@@ -62,8 +62,9 @@
     def give_up_unless_arrived(self) -> "Arrival":
         """End the attempt if it has not arrived, and return how far it has come.
 
-        It ends with UNREACHABLE if its last byte has not been handed to this machine's kernel, and with
-        UNARRIVED if the kernel has the byte but the far machine has not acknowledged it.
+        It ends with UNREACHABLE, or UNSENT where its bytes are merely sent slowly, if its last byte has not
+        been handed to this machine's kernel, and with UNARRIVED if the kernel has the byte but the far
+        machine has not acknowledged it.
         """
 
 
@@ -120,9 +121,9 @@
 class Link(Protocol):
     """Carries attempts to engines.
 
-    may_read_late: whether an engine may read an attempt long after it was sent or given up here. Where it
-    may, a retry could run after the engines have forgotten its idempotency key. transfers: rates of long
-    sends.
+    may_read_late: whether an engine may still read an attempt, which its machine received before, long after
+    this process has given it up or closed the connection. Where it may, a retry could run after the engines
+    have forgotten its idempotency key. transfers: rates of long sends.
     """
 
     may_read_late: bool
@@ -140,16 +141,16 @@
     ) -> LinkCall:
         """Start one attempt; no event is reported before this method has returned.
 
-        name: the attempt's name towards the engine. body: the request, which the core passes through between
-        front end and link. kv_transfer_params: where a decode engine fetches the prefill state, or None.
-        idempotency_key: empty if there is none. timeout: s.
+        name: the id by which the engine knows the attempt, and by which a release names its state. body: the
+        request, which the core passes through between front end and link. kv_transfer_params: where a decode
+        engine fetches the prefill state, or None. idempotency_key: empty if there is none. timeout: s.
         """
 
     def release(self, endpoint: Endpoint, name: str, events: ReleaseEvents) -> None:
         """Release the state that the prefill attempt `name` left, or may have left, at a prefill engine.
 
-        Where attempts share a name, those sent afterwards under that name start once the release is done. No
-        event is reported before this method has returned.
+        Where attempts share a name, the link queues those sent during the release, and starts them when it
+        has ended, confirmed or not. No event is reported before this method has returned.
         """
 
     def last_received_at(self, endpoint: Endpoint) -> float:
@@ -163,8 +164,9 @@
     ) -> None:
         """Check whether an engine answers anything within that many s.
 
-        Done by a release of what is held for `name`, which is being released in any case. An engine counts as
-        alive where the protocol has no such call. on_result is not called before this method has returned.
+        Done by a release of what is held for `name`, which is being released in any case. Where the protocol
+        has no liveness check every engine counts as alive. on_result is not called before this method has
+        returned.
         """
 
 
--- a/heathford/discovery/json_stream.py
+++ b/heathford/discovery/json_stream.py
@@ -1,6 +1,7 @@
 """Split the body of a watch into JSON objects and empty lines; no I/O.
 
-The protocol specifies one object a line, but indented objects that span several lines are accepted too.
+A watch is a long response with the changes of the endpoint list. The protocol specifies one object a line,
+but indented objects that span several lines are accepted too.
 """
 
 import re
@@ -15,6 +16,8 @@
 class JsonStream:
     """Yields the bytes of each complete object, and ``b""`` for each empty line between objects.
 
+    Objects are found by their braces and not validated.
+
     max_bytes: the size limit of an object and of a line.
     """
 
@@ -27,7 +30,7 @@
 
     @property
     def unfinished(self) -> bool:
-        """Whether part of an object has arrived, and its end has not."""
+        """Whether part of a line or an object has arrived, and its end has not."""
         return bool(self.line or self.lines)
 
     def feed(self, data: bytes) -> Iterator[bytes]:
--- a/heathford/engines/pools.py
+++ b/heathford/engines/pools.py
@@ -21,8 +21,8 @@
 class ConnectionPool(Generic[C]):
     """The connections to one address.
 
-    idle: with the time since when, the latest last. open: number of all. last_received_at: when bytes last
-    came on one of them. Times are s on the loop's clock.
+    idle: idle connections, each with the time when it became idle, the latest last. open: number of all.
+    last_received_at: when bytes last came on one of them. Times are s on the loop's clock.
     """
 
     def __init__(self, address: Address) -> None:
@@ -35,9 +35,10 @@
 class ConnectionPools(Generic[C]):
     """Connection pools by address, with a limit on all connections together.
 
-    max_idle_time: s after which an idle connection is not used again. reuse_delay: s after a request before a
-    connection is used again. max_connections: in all; a new one beyond them replaces the one idle for
-    longest. reserved: how many of these are kept for urgent use.
+    max_idle_time: s after which an idle connection is not used again. reuse_delay: s for which an idle
+    connection is not used yet, as the engine may still close it or repeat its response. max_connections: in
+    all; a new one beyond them replaces the one idle for longest. reserved: how many of these are kept for
+    urgent use.
     """
 
     def __init__(
@@ -61,22 +62,23 @@
 
     def take_idle(self, pool: ConnectionPool[C], now: float) -> C | None:
         """Return the connection used last, the least likely to be closed by the engine, or None."""
-        fresh = []
+        too_recent = []
         found = None
         while pool.idle and not found:
             connection, since = pool.idle.pop()
             if now - since < self.reuse_delay:
-                fresh.append((connection, since))
+                too_recent.append((connection, since))
             elif not connection.closed() and now - since < self.max_idle_time:
                 found = connection
             else:
                 connection.close()
-        pool.idle.extend(reversed(fresh))
+        pool.idle.extend(reversed(too_recent))
         return found
 
     def reserve(self, pool: ConnectionPool[C], urgent: bool = False) -> bool:
         """Count a new connection; return False if there are too many and none of them is idle.
 
+        Only an urgent one may be among the last `reserved` ones.
         Closes the connection that has been idle for longest where the limit is reached.
         """
         if self.open >= (self.max_connections if urgent else self.max_connections - self.reserved):
@@ -98,7 +100,7 @@
         return [pool.address for pool in sorted(heard, key=lambda pool: -pool.last_received_at)]
 
     def remove(self, pool: ConnectionPool[C], connection: C | None) -> None:
-        """Forget a connection; called once for each that was reserved.
+        """Forget a connection; called once for each that `reserve` counted.
 
         An address without connections is forgotten, too: engines come and go under new addresses, and a map
         of all of them would grow for as long as the process runs.
--- a/heathford/identity/shared_request.py
+++ b/heathford/identity/shared_request.py
@@ -8,16 +8,17 @@
 
 
 class SharedRequest:
-    """The answer to a request so far, and the response writers that receive it.
+    """Keeps the answer to a request so far, and passes it on to any number of response writers.
 
-    It is the response writer that the core knows. A writer that joins late gets the text from the start.
+    It is itself the response writer that the core knows. A writer that joins late gets the text from the
+    start.
 
     ended: called once the request has its final answer or has been abandoned.
     """
 
     def __init__(self, ended: Callable[[], None] = lambda: None) -> None:
         self.request: AcceptedRequest | None = None
-        self.name = ""  # as clients receive it, once the request has been accepted
+        self.name = ""  # the request's name as clients see it; empty until the request is accepted
         self.final_fields: Mapping[str, Any] = {}  # the final answer as JSON fields
         self.writers: dict[ResponseWriter, None] = {}
         self.parts: list[str] = []  # of the text
@@ -27,7 +28,7 @@
 
     @property
     def over(self) -> bool:
-        """Whether it has its final answer."""
+        """Whether it has its final answer or was abandoned."""
         return self.send_final is not None
 
     def join(self, writer: ResponseWriter) -> None:
--- a/heathford/interface.py
+++ b/heathford/interface.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 
-# Limits that the users of the service state.
+# Limits that the specification of the service sets.
 STALL_ALLOWANCE = 0.15  # s for which this process may stall between reading the clock and writing
 HELD_ALLOWANCE = 0.3  # s beyond the pin limit for which a prefill state may be held
 
@@ -28,7 +28,7 @@
 class Effect(Enum):
     """What it means to run a request twice.
 
-    No harm; no harm within a group of engines that know its idempotency key; or harm.
+    No harm; no harm within a group of engines that know its idempotency key ("tokened" in settings); or harm.
     """
 
     IDEMPOTENT = "idempotent"
@@ -37,7 +37,10 @@
 
 
 class Group(Enum):
-    """Which engines recognize the repeat of an idempotency-keyed request."""
+    """Which engines recognize the repeat of an idempotency-keyed request.
+
+    A cell is a group of engines within a zone.
+    """
 
     ALL = "all"
     ZONE = "zone"
@@ -62,7 +65,7 @@
     UNREACHABLE = "unreachable"
     BROKEN = "broken"
     CANCELLED = "cancelled"
-    UNSENT = "unsent"
+    UNSENT = "unsent"  # its last byte has not left this process: no engine has started it
     PREFILLED = "read"
     NO_FREE_CONNECTION = "crowded"  # all our own connections are in use: nothing was sent
     UNARRIVED = "unarrived"  # sent, but its last byte is not known to have reached the engine; it still may
@@ -101,7 +104,7 @@
     effect: Effect
     group: Group
     key_ttl: float  # s from the first attempt for which engines recognize a repeat by its idempotency key
-    value: float
+    value: float  # relative worth of a request, from the settings; the policy does not use it
 
 
 @dataclass(frozen=True)
@@ -181,6 +184,6 @@
         """
 
     def engine_silent(self, seq: int) -> None:
-        """Report that an engine has been silent since its attempt, and to the release after that."""
+        """Report that an engine has sent nothing since its attempt and not answered a liveness check."""
 
     def client_left(self) -> None: ...
--- a/heathford/platform/answers.py
+++ b/heathford/platform/answers.py
@@ -1,6 +1,6 @@
 """Parse an engine's answers in the platform's protocol; no I/O.
 
-Each row of the protocol's table of outcomes becomes one Outcome. The events of a stream are passed on as the
+Each result that the protocol defines becomes one Outcome. The events of a stream are passed on as the
 bytes they came in.
 """
 
@@ -10,14 +10,15 @@
 from heathford.interface import Outcome
 from heathford.wire.http1 import MalformedMessageError, Response, json_object
 
-LONGEST_LINE = 16_384  # bytes of a head, a chunk-size line or one event: engines send a few hundred
+# Bytes of a head, a chunk-size line, one event or the answer to a release: engines send a few hundred.
+LONGEST_LINE = 16_384
 LONGEST_BODY = 262_144  # bytes of a body or a chunk: the protocol's limit
 REJECTED_HEADER = "x-rejected"  # set by an engine that has not started the request
 REJECTION_DETAILS = {
     503: 0,
     504: 0,
     410: 1,
-}  # status with that header -> detail; 1: no prefill state to fetch
+}  # status with that header -> detail; 1: could not fetch the prefill state
 DONE_EVENT = b"data: [DONE]"
 EVENT_ENDS = (b"\n\n", b"\r\n\r\n")
 
--- a/heathford/platform/eviction.py
+++ b/heathford/platform/eviction.py
@@ -1,13 +1,13 @@
 """Choose idle client connections to close when descriptors run out; no I/O.
 
-Only connections on which no answer is owed are candidates.
+Only connections without an open request are candidates; each says itself whether it is one.
 """
 
 from collections.abc import Iterator
 from enum import Enum
 from typing import Generic, Protocol, TypeVar
 
-SILENT_GRACE = 0.5  # s in which a new client normally starts its request; slower ones are evicted early
+SILENT_GRACE = 0.5  # s in which a new client normally starts; slower ones are evicted before kept-alive ones
 
 
 class Idleness(Enum):
--- a/heathford/platform/process.py
+++ b/heathford/platform/process.py
@@ -40,7 +40,7 @@
 # Connections accepted in one turn of the event loop: those evicted for them are closed between two turns.
 ACCEPTS_PER_TURN = 8
 # Standard streams, the event loop's own, the listening socket, the configuration file, and three calls to
-# discovery: one that was given up and is still listened to, one being given up, and the next.
+# discovery: one that timed out and whose list may still arrive, one being given up, and the next.
 OWN_DESCRIPTORS = 17
 # Accepted connections may be uncounted, or evicted ones not closed yet, for up to three turns.
 RESERVED_DESCRIPTORS = OWN_DESCRIPTORS + 3 * ACCEPTS_PER_TURN
@@ -55,8 +55,8 @@
 # Sweeps between two full garbage collections, 2 s in all. Requests and their attempts refer to each other;
 # at its default thresholds the collector let ten times as many pile up. A collection takes about 3 ms.
 SWEEPS_PER_COLLECTION = 8
-# s to wait for the agent's first list: it answers at once, or not at all while discovery is down. That is
-# time for more than two calls; a start may take 10 s.
+# s to wait for the first list of the discovery agent on this machine: it answers at once, or not at all while
+# discovery is down. That is time for more than two calls; a start may take 10 s.
 FIRST_LIST_TIMEOUT = 0.5
 LIST_RETRY_DELAY = 0.5  # s, after a list change failed to apply, until the whole list is requested
 MAX_LOGGED_REASONS = 40  # the most frequent ones, in a state line
@@ -133,6 +133,7 @@
             descriptors.clients,
         )
         self.core.on_endpoint_list_failure = self.request_list_later
+        # Fetches the endpoint list and follows its changes.
         self.watch = DiscoveryClient(*discovery, self.endpoint_list, self.on_list_change)
         self.ending = asyncio.Event()
         self.known_list = configuration.get("known")
@@ -151,9 +152,10 @@
             except MalformedMessageError as exc:
                 log.error("the endpoint list in the configuration is malformed", why=str(exc))
         self.watch.start()
-        # The configuration's list may be out of date, and this process is held to the agent's list from its
-        # first moment: without waiting, first attempts could go to engines that drain or are removed. While
-        # the agent is silent a start takes longer, and the configuration's list is all there is.
+        # The configuration's list may be out of date, and this process must follow the list of the discovery
+        # agent from its first moment: without waiting, first attempts could go to engines that drain or are
+        # removed. While the agent is silent a start takes longer, and the configuration's list is all there
+        # is.
         if not await self.watch.wait_for_first_list(FIRST_LIST_TIMEOUT):
             log.warning("no endpoint list from discovery yet", known=len(self.endpoint_list.entries))
         sock = await self.open_listening_socket()
@@ -214,7 +216,12 @@
             gc.collect()
 
     def log_state(self) -> None:
-        """Log this front node's counters, to be compared with the traffic on its sockets; repeats itself."""
+        """Log this front node's counters, to be compared with the traffic on its sockets; repeats itself.
+
+        taken: accepted requests; left: those whose client left; late: those that ran past their deadline;
+        faults: decisions that raised; live: open requests; out: evicted client connections; spoilt: malformed
+        answers of engines; gate: refusals of the gate, by reason.
+        """
         tally, router = self.core.tally, self.core.router
         log.info(
             "state",
--- a/heathford/platform/release_schedule.py
+++ b/heathford/platform/release_schedule.py
@@ -12,7 +12,7 @@
 MAX_ROUND_INTERVAL = 0.05  # s between two rounds: many round-trip times, and three rounds fit in the margin
 ROUND_INTERVALS_PER_LIMIT = 6  # at least this many intervals fit within the limit
 MIN_ENGINES_ASKED = 2  # even if all engines count as silent
-MAX_CALLS_TO_HOLDER = 2  # in flight: its pooled connection may be silent while a new one is not
+MAX_CALLS_TO_FIRST_ASKED = 2  # in flight: its pooled connection may be silent while a new one is not
 
 
 class ReleaseSchedule:
@@ -60,7 +60,9 @@
         self.next_round_at = now + self.round_interval
 
     def record_refusal(self, now: float) -> None:
-        """Record that an engine could not be asked, for instance as nothing listens there any more.
+        """Record that an engine's first call ended unconfirmed before its time-out; see `StateRelease`.
+
+        For instance nothing listens there any more.
 
         Another engine may be asked at once. Otherwise the engines of a lost zone, tried one after the other,
         would use up the limit.
--- a/heathford/platform/silent_engines.py
+++ b/heathford/platform/silent_engines.py
@@ -6,7 +6,7 @@
 from heathford.engines.pools import Address
 from heathford.platform.release_schedule import MAX_ROUND_INTERVAL
 
-SILENT_AFTER = MAX_ROUND_INTERVAL  # s without an answer after which other engines are asked instead
+SILENT_AFTER = MAX_ROUND_INTERVAL  # s without an answer to a release, until other engines are asked instead
 PROBE_INTERVAL = 1.0  # s after the last release to a silent engine until another one tests it again
 CLEANUP_THRESHOLD = 512  # entries from which on expired ones are removed
 
@@ -22,9 +22,9 @@
 class SilentEngines:
     """Shares among all releases of a process which engines do not answer.
 
-    If each release found this out alone, many held states would cause releases to all engines for each of
-    them, which keeps slow engines from catching up. Instead one release now and then tests a silent engine,
-    and its answer counts for all.
+    If each release had to detect silent engines itself, many held states would each cause calls to many
+    engines, which keeps slow engines from catching up. Instead one release now and then tests a silent
+    engine, and its answer counts for all.
 
     last_received_at: returns when anything was last received from an address, in s on the loop's clock, or
     -inf.
--- a/heathford/platform/state_release.py
+++ b/heathford/platform/state_release.py
@@ -12,7 +12,7 @@
 from heathford.platform.answers import LONGEST_LINE
 from heathford.platform.exchange import Exchange
 from heathford.platform.release_schedule import (
-    MAX_CALLS_TO_HOLDER,
+    MAX_CALLS_TO_FIRST_ASKED,
     MIN_ENGINES_ASKED,
     ReleaseSchedule,
     next_to_ask,
@@ -22,9 +22,9 @@
 if TYPE_CHECKING:
     from heathford.platform.link import PlatformLink
 
-ROOMS_PATH = "/bootstrap/rooms/"
+ROOMS_PATH = "/bootstrap/rooms/"  # in the engines' interface; what follows names a request
 NO_CONNECTION = -1  # in place of a status: all connections of this process are in use
-CONNECTION_REFUSED = -2  # in place of a status: by the protocol page, the engine's process is gone
+CONNECTION_REFUSED = -2  # in place of a status: by the protocol, the engine's process has ended
 
 log = structlog.get_logger()
 
@@ -118,10 +118,10 @@
             notification(events)
 
     async def run(self) -> bool:
-        """Ask engines until the limit, and return whether one has confirmed the release.
+        """Ask engines for `pin_limit` s at most, and return whether one has confirmed the release.
 
         The holder is asked first. As an unreachable holder would keep the state for good, other engines are
-        asked after it: each of them accepts the release.
+        asked after it: on this platform any engine can release what another one holds.
         """
         loop = self.link.loop
         schedule = ReleaseSchedule(loop.time(), self.link.pin_limit)
@@ -165,7 +165,7 @@
         if len(self.asked) < MIN_ENGINES_ASKED:
             candidate = self.other_endpoint(lambda address: False)
         in_flight = sum(call.endpoint is candidate for call in self.calls.values())
-        return candidate if in_flight < MAX_CALLS_TO_HOLDER else None
+        return candidate if in_flight < MAX_CALLS_TO_FIRST_ASKED else None
 
     def other_endpoint(self, is_silent: Callable[[Address], bool]) -> Endpoint | None:
         """Return the next engine beside the holder, as `next_to_ask` chooses it."""
--- a/heathford/policy/request_state.py
+++ b/heathford/policy/request_state.py
@@ -31,7 +31,7 @@
 from heathford.policy.held_state import PendingReleases
 from heathford.policy.transfer import TransferRates
 
-IMMEDIATE_SHARE = 0.05  # share of the latency target: a full engine refuses within it, a rate limit later
+IMMEDIATE_SHARE = 0.05  # share of the latency target; a later FULL counts as a rate limit of the origin
 MIN_PREFILL_TIMES = 2.0  # predicted prefill times that must be left before the target: for prefill and decode
 
 
@@ -155,10 +155,11 @@
             and not attempt.is_prefill
             and not attempt.streaming_since
         ):
-            # Guards against a state that a release left to this attempt, because it was waiting for it or
-            # found it before the release came, and that it has not fetched. Costs a release.
+            # Guards against a state that stays held: this attempt, in flight during the release, may have
+            # claimed the state before the release came and then not fetched it. Costs one more release.
             self.actions.release()
-        self.deferred = False  # decided with the next turn: a final answer may be due
+        # Decided at the next Router.decide, not at the next scan: a final answer may be due.
+        self.deferred = False
         if outcome in ANSWERED_BY_ENGINE or not self.state_engine:
             self.held_since = now
         elif now - self.held_since >= self.router.decode_wait_limit:
@@ -234,7 +235,7 @@
         if self.workload.effect is Effect.IDEMPOTENT:
             should_cancel = self.router.may_start_over(self)
         else:
-            should_cancel = self.may_be_refused and not self.may_be_retried
+            should_cancel = self.may_be_rate_limited and not self.may_be_retried
         if should_cancel:
             self.actions.cancel(seq)
 
@@ -255,9 +256,9 @@
     def may_be_retried(self) -> bool:
         """Whether a further attempt is allowed after one that may have run.
 
-        Guards against a keyed repeat that an engine reads after it has forgotten the key: there is none where
-        engines may read late. Could harm a request that is lost with its engine and that a repeat in time
-        would have served.
+        Guards against an engine running a retry after it has forgotten the idempotency key: where engines may
+        read attempts late, idempotency-keyed requests are not retried. Could harm a request that is lost with
+        its engine and that a retry in time would have served.
         """
         effect = self.workload.effect
         return effect is Effect.IDEMPOTENT or (
@@ -265,8 +266,8 @@
         )
 
     @property
-    def may_be_refused(self) -> bool:
-        """Whether its client may be told to repeat it although an attempt may have run."""
+    def may_be_rate_limited(self) -> bool:
+        """Whether it may be answered rate-limited, and so repeated, although an attempt may have run."""
         known = self.workload.effect is Effect.IDEMPOTENCY_KEYED and self.workload.group is Group.ALL
         return known or self.workload.effect is Effect.IDEMPOTENT
 
@@ -300,7 +301,7 @@
             self.router.recent_requests = max(0.0, self.router.recent_requests - self.is_representative)
         self.release_state()
         self.over, self.give_up_reason = True, reason
-        if self.may_be_refused or not self.possibly_run_attempts():
+        if self.may_be_rate_limited or not self.possibly_run_attempts():
             soon = reason is not GiveUpReason.TRANSFER_TOO_SLOW  # a repeat would be sent as slowly
             self.actions.rate_limit(self.router.retry_after if soon else 0.0)
         else:
--- a/heathford/policy/router.py
+++ b/heathford/policy/router.py
@@ -28,7 +28,7 @@
 MAX_MEDIAN_RATIO = 2.0  # times the median load that a session's last combined engine may have to be kept
 MAX_MEMORY_SHARE = 0.92  # share of an engine's memory that is filled; the rest is for answers that grow
 MAX_SLOT_SHARE = 0.97  # reported share of slots in use from which a new answer would queue
-PREFILLS_PER_DECODE_ENGINE = 2  # our prefills per decode engine with capacity: one going there, one running
+PREFILLS_PER_DECODE_ENGINE = 2  # our prefill attempts in flight per decode engine with capacity
 GIVE_UP_MARGIN = 0.15  # s before its deadline at which a waiting request is given up: a short prefill's time
 SCAN_INTERVAL = 0.05  # s between two scans of deferred requests: small beside any latency target
 DECODE_WAIT_SHARE = 0.4  # share of the pin limit for which a state waits for a decode engine with capacity
@@ -44,12 +44,13 @@
 
     heathford.interface defines the events that it is given and the actions that it calls.
 
-    seed: of its random choices; number, fronts: this front node's place among all and their count; pin_limit:
-    s for which a prefill state may be held; may_delay_retries, longest_retry: whether a rate-limited client
-    may be told when to repeat, and s at most; warm_after, cold_from, cold_multiple, cold_window: the rule for
-    cold engines; read_in_place: whether decode engines do their own prefill where no combined engine is
-    listed; subscribe: whether the endpoint list has to be requested; keyed_repeats: whether
-    idempotency-keyed requests may be retried after an attempt that may have run.
+    seed: of its random choices; number: this front node's index, from 0; fronts: how many there are;
+    pin_limit: s for which a prefill state may be held; may_delay_retries, longest_retry: whether a
+    rate-limited client may be told when to repeat, and s at most; warm_after: s in which an engine warms up;
+    cold_from * cold_multiple: requests of a cold engine as a share of a warm one's; cold_window: s over which
+    they are counted; read_in_place: whether decode engines do their own prefill where no combined engine is
+    listed; subscribe: whether the endpoint list has to be requested; keyed_repeats: whether idempotency-keyed
+    requests may be retried after an attempt that may have run.
     """
 
     def __init__(
@@ -371,7 +372,7 @@
         now, last = self.clock.now, self.last_combined.get(request.session)
         pool = self.pools[Role.COMBINED]
 
-        def is_open(engine: Engine) -> bool:
+        def is_available(engine: Engine) -> bool:
             return request.may_go_to(engine, now) and self.can_reach_in_time(
                 request, engine, request.deadline
             )
@@ -380,23 +381,24 @@
             last
             and last in pool
             and self.usable(last, request)
-            and is_open(last)
+            and is_available(last)
             and (last.load_tokens <= MAX_MEDIAN_RATIO * median(e.load_tokens for e in pool))
         ):
             return last
-        return self.pick_by_hash(request, Role.COMBINED, is_open)
+        return self.pick_by_hash(request, Role.COMBINED, is_available)
 
-    def pick_by_hash(self, request: RequestState, role: Role, is_open: EngineFilter) -> Engine | None:
+    def pick_by_hash(self, request: RequestState, role: Role, is_available: EngineFilter) -> Engine | None:
         """Return the better of two engines that the shared prefix, else the session, hashes to.
 
-        Both are of the own zone, or of all zones if both of these are closed. The hash covers closed engines
-        as well: a session hashed to open ones only would move under load and need a new prefill each time.
-        With equal load it is the first one at all front nodes, so that one engine keeps the prompt cached.
+        Both are of the own zone, or of all zones if neither of these is available (busy or blocked, say). The
+        hash covers such engines as well, though not unusable ones: a session hashed to available ones only
+        would move under load and need a new prefill each time. With equal load it is the first one at all
+        front nodes, so that one engine keeps the prompt cached.
         """
         usable = partial(self.usable, request=request)
         for ring in self.rings[role]:
             picked = [ring.pick(f"{seed}:{request.placement_key}", usable) for seed in (1, 2)]
-            available = [e for e in picked if e and is_open(e)]
+            available = [e for e in picked if e and is_available(e)]
             if len(available) > 1 and not self.slow_start.admits_second_choice(available[1], request.session):
                 return available[0]
             if available:
@@ -451,7 +453,7 @@
         candidates = next(
             filter(None, ([e for e in pool if self.has_capacity(e, request)] for pool in pools)), []
         )
-        if waited and not candidates:  # the state may not be held any longer
+        if waited and not candidates:  # it no longer waits for an engine with capacity
             candidates = [
                 e for e in eligible if not e.is_blocked(request.origin, now, self.min_latency_target)
             ] or eligible
@@ -504,7 +506,7 @@
             request.release_at = release_time(request.held_since, self.pin_limit)
             self.pending_releases.add(request, now)
         only_chance = attempt.is_combined or not (
-            is_prefill or request.may_be_retried or request.may_be_refused
+            is_prefill or request.may_be_retried or request.may_be_rate_limited
         )
         # Under overload a second attempt is more work, and its answer later.
         share = 1.0 if only_chance or self.is_overloaded else ATTEMPT_TIME_SHARE
--- a/heathford/tls/keys.py
+++ b/heathford/tls/keys.py
@@ -24,7 +24,7 @@
 
 
 class Purpose(Enum):
-    """What a certificate is used for."""
+    """What a certificate is used for: server or client authentication; the values are log texts."""
 
     SERVER = "to serve with"
     CLIENT = "to ask engines with"
@@ -138,7 +138,7 @@
 
 
 def find_authority_problems(data: bytes, now: datetime) -> list[str]:
-    """Return the problems of the trusted authorities, if none of them is valid now."""
+    """Return the problems if no trusted authority is valid now, else none."""
     parsed = parse_certificates(data)
     if isinstance(parsed, str):
         return [parsed]
@@ -152,16 +152,16 @@
 
 
 def expiry(pem: Pem) -> datetime | None:
-    """Return when the first certificate of the chain expires; None without a certificate."""
+    """Return the earliest expiry among the certificates of the chain; None without a certificate."""
     chain = parse_certificates(pem.certificate) if pem.certificate else []
     return None if isinstance(chain, str) or not chain else min(c.not_valid_after_utc for c in chain)
 
 
 class Action(Enum):
-    """What to do after the files have been checked; the values are log texts."""
+    """What to do after the files have been checked; the values are log texts, except as noted."""
 
     NONE = "nothing"
-    INSTALL = "new keys"
+    INSTALL = "new keys"  # not logged in these words
     REJECT = "new keys refused, the old ones stay"
     WARN_EXPIRING = "keys expire soon"
     WARN_EXPIRED = "keys have expired, and no new ones are there"
@@ -182,7 +182,7 @@
         self.installations = 0
 
     def check(self, contents: Pem | str, now: datetime) -> tuple[Action, Sequence[str]]:
-        """Return what to do, and why.
+        """Return what to do, and why; NONE also where a warning or rejection was returned lately.
 
         contents: of the files, or why they can't be read. After INSTALL, call `mark_installed`.
         """
--- a/heathford/wire/requests.py
+++ b/heathford/wire/requests.py
@@ -8,7 +8,7 @@
 
 from heathford.wire.http1 import CONTENT_LENGTH, MalformedMessageError, Message, parse_token_list
 
-REQUEST_START = re.compile(rb"[A-Z]{1,16}( |$)|\r$")  # matches any part of a method that was received
+REQUEST_START = re.compile(rb"[A-Z]{1,16}( |$)|\r$")  # a method, or the beginning received so far
 REQUEST_LINE = re.compile(r"([A-Z]{1,16}) (/[!-~]*) HTTP/(\d)\.(\d)")
 FIELD_NAME = re.compile(r"[!#$%&'*+\-.^_`|~0-9A-Za-z]+")
 FIELD_VALUE = re.compile(r"[\t -~\x80-\xff]*")
@@ -28,7 +28,8 @@
 class Request(Message):
     """Parses one request; `done` is set once it is complete.
 
-    max_head_bytes, max_body_bytes: limits, above which the request is refused; rest: bytes received already.
+    max_head_bytes, max_body_bytes: limits, above which the request is refused; the first is also that of a
+    chunk-size line (`max_line_bytes` of Message). rest: bytes received before.
     """
 
     def __init__(self, max_head_bytes: int, max_body_bytes: int, rest: bytes = b"") -> None:
@@ -100,10 +101,10 @@
         coding, length = self.headers.get("transfer-encoding"), self.headers.get("content-length")
         for name in ("transfer-encoding", "content-length", "host"):
             if name in self.repeated_fields:
-                raise RequestError(400, f"{name} told twice")
+                raise RequestError(400, f"{name} told twice")  # a repeated field
         if coding is not None:
             if length is not None:
-                raise RequestError(400, "a body of two lengths")
+                raise RequestError(400, "a body of two lengths")  # has both fields
             if coding.lower() != "chunked":
                 raise RequestError(501, "a transfer coding other than chunked")
             self.read_next = self.read_chunk_size
