--- a/heathford/interface.py
+++ b/heathford/interface.py
@@ -12,7 +12,7 @@
 from typing import Protocol
 
 
-# Limits that the specification of the service sets.
+# Allowances in the requirements on a front node.
 STALL_ALLOWANCE = 0.15  # s for which this process may stall between reading the clock and writing
 HELD_ALLOWANCE = 0.3  # s beyond the pin limit for which a prefill state may be held
 
