--- a/heathford/cli/batch.py
+++ b/heathford/cli/batch.py
@@ -1,4 +1,4 @@
-"""heathford batch: submit, watch, fetch and cancel, with progress on the terminal."""
+"""The `heathford batch` commands: submit, watch, fetch, cancel and list batches."""
 
 import asyncio
 import ssl
@@ -12,16 +12,18 @@
 if TYPE_CHECKING:
     from heathford.client.batches import Batches
 
-URL = click.option("--url", required=True, help="The front that has it: http(s)://HOST:PORT")
-MEMBER = click.option("--member", default="", help="For whom.")
+URL = click.option(
+    "--url", required=True, help="URL of the front node that has the batch: http(s)://HOST:PORT."
+)
+MEMBER = click.option("--member", default="", help="Tenant that owns the batch.")
 AUTHORITY = click.option(
     "--authority",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Certificates of the authorities to trust, in PEM.",
+    help="PEM file with the certificates of the trusted authorities.",
 )
 
 
-def batches_of(url: str, member: str, authority: Path | None) -> "Batches":
+def make_batches_client(url: str, member: str, authority: Path | None) -> "Batches":
     from heathford.client.batches import Batches
     from heathford.tls.files import ALPN_PROTOCOLS
 
@@ -32,48 +34,56 @@
     return Batches(url, member, tls)
 
 
-def run(work: Coroutine[Any, Any, int]) -> None:
-    """Exits 0 where all went well, 1 where the batch or the front did not, 2 where it is not to be asked."""
+def run_command(command: Coroutine[Any, Any, int]) -> None:
+    """Run a command and exit with the status that it returns.
+
+    The exit status is 1 if the request failed or the front node could not be reached, 2 if the request is
+    invalid.
+    """
     from heathford.client.answers import BadRequest, CompletionError
 
     try:
-        code = asyncio.run(work)
-    except BadRequest as problem:
-        raise click.UsageError(str(problem)) from None
-    except (CompletionError, OSError) as problem:
-        raise click.ClickException(f"{type(problem).__name__.lower()}: {problem}") from None
+        code = asyncio.run(command)
+    except BadRequest as error:
+        raise click.UsageError(str(error)) from None
+    except (CompletionError, OSError) as error:
+        raise click.ClickException(f"{type(error).__name__.lower()}: {error}") from None
     sys.exit(code)
 
 
-def shown(found: dict[str, Any]) -> str:
-    counts = found["request_counts"]
-    wrong = f", {counts['failed']} failed" if counts["failed"] else ""
-    return f"{found['id']} {found['status']}: {counts['completed']} of {counts['total']} answered{wrong}"
-
-
-async def watched(batches: "Batches", batch: str) -> dict[str, Any]:
-    """Until it is over, on a terminal with a bar where rich is there."""
-    found: dict[str, Any] = {}
-    bar = progress()
-    if bar is None:
-        async for found in batches.watch(batch):
-            click.echo(shown(found))
-        return found
-    with bar as on_screen:
-        task = on_screen.add_task(batch, total=None)
-        async for found in batches.watch(batch):
-            counts = found["request_counts"]
-            on_screen.update(
+def describe_batch(result: dict[str, Any]) -> str:
+    counts = result["request_counts"]
+    failures = f", {counts['failed']} failed" if counts["failed"] else ""
+    return f"{result['id']} {result['status']}: {counts['completed']} of {counts['total']} answered{failures}"
+
+
+async def watch_batch(batches: "Batches", batch: str) -> dict[str, Any]:
+    """Show a batch until it has a final status and return it.
+
+    Its progress is shown as a bar if standard output is a terminal and rich is installed.
+    """
+    result: dict[str, Any] = {}
+    progress_bar = make_progress_bar()
+    if progress_bar is None:
+        async for result in batches.watch(batch):
+            click.echo(describe_batch(result))
+        return result
+    with progress_bar as progress:
+        task = progress.add_task(batch, total=None)
+        async for result in batches.watch(batch):
+            counts = result["request_counts"]
+            progress.update(
                 task,
-                description=found["status"],
+                description=result["status"],
                 total=counts["total"] or None,
                 completed=counts["completed"] + counts["failed"],
             )
-    click.echo(shown(found))
-    return found
+    click.echo(describe_batch(result))
+    return result
 
 
-def progress() -> Any:
+def make_progress_bar() -> Any:
+    """Return a progress bar, or None if standard output is no terminal or rich is not installed."""
     if not sys.stdout.isatty():
         return None
     try:
@@ -85,52 +95,58 @@
     )
 
 
-def told(found: dict[str, Any]) -> int:
-    for mistake in (found.get("errors") or {}).get("data", []):
-        where = f"line {mistake['line']}: " if mistake["line"] else ""
-        click.echo(f"{where}{mistake['message']} ({mistake['code']})", err=True)
-    return 0 if found["status"] == "completed" and not found["request_counts"]["failed"] else 1
+def report_errors(result: dict[str, Any]) -> int:
+    """Print the errors of a batch to standard error; return 0 if all its lines were answered, otherwise 1."""
+    for error in (result.get("errors") or {}).get("data", []):
+        location = f"line {error['line']}: " if error["line"] else ""
+        click.echo(f"{location}{error['message']} ({error['code']})", err=True)
+    return 0 if result["status"] == "completed" and not result["request_counts"]["failed"] else 1
 
 
-def add_to(cli: click.Group) -> None:
-    """The commands, under `batch`."""
+def add_batch_commands(cli: click.Group) -> None:
+    """Add the group `batch` with its commands to the command line."""
 
     @cli.group()
     def batch() -> None:
-        """Files of completions that nobody waits for at a screen."""
+        """Submit files of requests to be answered in the background."""
 
     def command(name: str) -> Callable[[Callable[..., None]], Any]:
-        def add(function: Callable[..., None]) -> Any:
+        def decorate(function: Callable[..., None]) -> Any:
             return batch.command(name)(URL(MEMBER(AUTHORITY(function))))
 
-        return add
+        return decorate
 
     @command("submit")
     @click.argument("file", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-    @click.option("--window", default="24h", show_default=True, help="Within which it is to be done.")
-    @click.option("--watch", is_flag=True, help="Stays until it is over.")
+    @click.option(
+        "--window", default="24h", show_default=True, help="Time within which the batch is to be completed."
+    )
+    @click.option("--watch", is_flag=True, help="Show the batch until it has a final status.")
     def submit(url: str, member: str, authority: Path | None, file: Path, window: str, watch: bool) -> None:
-        """Uploads FILE (JSON Lines) and begins a batch; says its name."""
+        """Upload FILE (JSON Lines), create a batch of it and print the batch's name."""
 
-        async def work() -> int:
-            async with batches_of(url, member, authority) as batches:
+        async def run() -> int:
+            async with make_batches_client(url, member, authority) as batches:
                 uploaded = await batches.upload(file)
-                found = await batches.submit(uploaded["id"], window)
-                click.echo(found["id"])
-                return told(await watched(batches, found["id"])) if watch else 0
+                result = await batches.submit(uploaded["id"], window)
+                click.echo(result["id"])
+                return report_errors(await watch_batch(batches, result["id"])) if watch else 0
 
-        run(work())
+        run_command(run())
 
     @command("watch")
     @click.argument("name")
     def watch_(url: str, member: str, authority: Path | None, name: str) -> None:
-        """Shows a batch until it is over; exits 0 if all its lines were answered."""
+        """Show a batch until it has a final status.
+
+        The exit status is 0 if all its lines were answered.
+        """
 
-        async def work() -> int:
-            async with batches_of(url, member, authority) as batches:
-                return told(await watched(batches, name))
+        async def run() -> int:
+            async with make_batches_client(url, member, authority) as batches:
+                return report_errors(await watch_batch(batches, name))
 
-        run(work())
+        run_command(run())
 
     @command("fetch")
     @click.argument("name")
@@ -138,48 +154,51 @@
         "--to",
         type=click.Path(file_okay=False, path_type=Path),
         default=Path("."),
-        help="The folder that gets NAME_output.jsonl and NAME_error.jsonl.",
+        help="Folder for NAME_output.jsonl and NAME_error.jsonl.",
     )
     def fetch(url: str, member: str, authority: Path | None, name: str, to: Path) -> None:
-        """Writes the answers and errors of a batch that is over, each whole or not at all."""
+        """Download the output and error files of a batch with a final status.
+
+        Each file is written completely or not at all.
+        """
         from heathford.client.batches import FINAL_STATUSES
 
-        async def work() -> int:
-            async with batches_of(url, member, authority) as batches:
-                found = await batches.get(name)
-                if found["status"] not in FINAL_STATUSES:
-                    click.echo(f"{shown(found)}: not over yet", err=True)
+        async def run() -> int:
+            async with make_batches_client(url, member, authority) as batches:
+                result = await batches.get(name)
+                if result["status"] not in FINAL_STATUSES:
+                    click.echo(f"{describe_batch(result)}: not over yet", err=True)
                     return 1
                 to.mkdir(parents=True, exist_ok=True)
                 for kind in ("output", "error"):
-                    file = found[f"{kind}_file_id"]
+                    file = result[f"{kind}_file_id"]
                     if file:
                         path = to / f"{name}_{kind}.jsonl"
                         click.echo(f"{path}: {await batches.fetch(file, path)} bytes")
-                return told(found)
+                return report_errors(result)
 
-        run(work())
+        run_command(run())
 
     @command("cancel")
     @click.argument("name")
     def cancel(url: str, member: str, authority: Path | None, name: str) -> None:
-        """Ends a batch; what was answered stays and can be fetched."""
+        """Cancel a batch; its answers so far can still be fetched."""
 
-        async def work() -> int:
-            async with batches_of(url, member, authority) as batches:
-                click.echo(shown(await batches.cancel(name)))
+        async def run() -> int:
+            async with make_batches_client(url, member, authority) as batches:
+                click.echo(describe_batch(await batches.cancel(name)))
             return 0
 
-        run(work())
+        run_command(run())
 
     @command("list")
     def list_(url: str, member: str, authority: Path | None) -> None:
-        """A member's batches, newest first."""
+        """List the tenant's batches, newest first."""
 
-        async def work() -> int:
-            async with batches_of(url, member, authority) as batches:
-                async for found in batches.entries("batches"):
-                    click.echo(shown(found))
+        async def run() -> int:
+            async with make_batches_client(url, member, authority) as batches:
+                async for result in batches.entries("batches"):
+                    click.echo(describe_batch(result))
             return 0
 
-        run(work())
+        run_command(run())
--- a/heathford/cli/complete.py
+++ b/heathford/cli/complete.py
@@ -1,4 +1,4 @@
-"""Asks for one completion by either protocol and shows it as it comes."""
+"""Send one request over either protocol and stream its answer to the terminal."""
 
 import ssl
 from collections.abc import Callable
@@ -12,8 +12,12 @@
 from heathford.tls.files import ALPN_PROTOCOLS
 
 
-def client_of(urls: list[str], member: str, authority: Path | None, retry_share: float) -> Client:
-    """By the scheme of the addresses; raises ValueError where they name none or several protocols."""
+def make_client(urls: list[str], member: str, authority: Path | None, retry_share: float) -> Client:
+    """Return a client for the protocol of the URLs.
+
+    Raises ValueError if the schemes of the URLs belong to no protocol or to both, and OSError if the
+    authority file can't be read.
+    """
     tls = None
     if authority:
         tls = ssl.create_default_context(cafile=str(authority))
@@ -23,10 +27,12 @@
         return WebSocketClient(urls, member, retry_share, tls=tls)
     if set(schemes) <= {"http", "https"}:
         return HttpClient(urls, member, retry_share, tls=tls)
-    raise ValueError(f"addresses of {', '.join(schemes)}; allowed are ws and wss, or http and https")
+    raise ValueError(
+        f"unsupported URL schemes: {', '.join(schemes)}; allowed are ws and wss, or http and https"
+    )
 
 
-async def one(
+async def run_completion(
     urls: list[str],
     model: str,
     prompt: str,
@@ -38,25 +44,28 @@
     repeatable: bool = True,
     retry_share: float = 0.2,
 ) -> int:
-    """The exit code: 0 finished, 1 rate-limited, aborted or no front, 2 not to be asked."""
+    """Send a request, show its answer and return the exit status.
+
+    0: finished; 1: rate-limited, aborted, or no front node could be reached; 2: the request is invalid.
+    """
     try:
-        client = client_of(urls, member, authority, retry_share)
-    except (ValueError, OSError) as problem:
-        show(str(problem), err=True)
+        client = make_client(urls, member, authority, retry_share)
+    except (ValueError, OSError) as error:
+        show(str(error), err=True)
         return 2
-    more: dict[str, Any] = {} if timeout is None else {"timeout": timeout}
+    timeout_option: dict[str, Any] = {} if timeout is None else {"timeout": timeout}
     async with client:
-        stream = client.stream(model, prompt, max_tokens=max_tokens, repeatable=repeatable, **more)
+        stream = client.stream(model, prompt, max_tokens=max_tokens, repeatable=repeatable, **timeout_option)
         try:
             async for part in stream:
                 show(part, nl=False)
-            found = await stream.result()
-        except CompletionError as problem:
-            final, guidance = describe_error(problem)
-            show(f"{chr(10) if problem.text else ''}{final}: {guidance} ({problem.tries} tries)", err=True)
-            return 2 if isinstance(problem, BadRequest) else 1
+            answer = await stream.result()
+        except CompletionError as error:
+            final, guidance = describe_error(error)
+            show(f"{chr(10) if error.text else ''}{final}: {guidance} ({error.tries} tries)", err=True)
+            return 2 if isinstance(error, BadRequest) else 1
         show(
-            f"\nfinished: {found.usage.get('prompt_tokens')} prompt tokens, "
-            f"{found.usage.get('completion_tokens')} answered, {found.tries} tries"
+            f"\nfinished: {answer.usage.get('prompt_tokens')} prompt tokens, "
+            f"{answer.usage.get('completion_tokens')} answered, {answer.tries} tries"
         )
         return 0
--- a/heathford/cli/main.py
+++ b/heathford/cli/main.py
@@ -1,4 +1,7 @@
-"""The commands."""
+"""Commands of the `heathford` program.
+
+Each command imports what it needs when it runs.
+"""
 
 import asyncio
 import os
@@ -13,27 +16,34 @@
 
 from heathford import __version__
 from heathford.cli import logs
-from heathford.cli.batch import add_to
+from heathford.cli.batch import add_batch_commands
 
 if TYPE_CHECKING:
     from heathford.script.script import Script
     from heathford.script.schema import FunctionSpec
 
-URLS = "A front's address: ws(s)://HOST:PORT/v1/sessions or http(s)://HOST:PORT; may be given again."
+URLS = (
+    "A front node's URL: ws(s)://HOST:PORT/v1/sessions or http(s)://HOST:PORT; may be given more than once."
+)
 SCRIPT = click.argument("script", type=click.Path(exists=True, dir_okay=False, path_type=Path))
 
 
-def checked(path: Path, words: "Mapping[str, FunctionSpec] | None" = None) -> "Script":
+def load_script(path: Path, functions: "Mapping[str, FunctionSpec] | None" = None) -> "Script":
+    """Return the script, or print all its mistakes and exit with status 2.
+
+    functions: those that the script may call; without them it is a deployment script, of which the TLS keys
+    and certificates are checked too.
+    """
     from heathford.script.script import ScriptError, read_script
     from heathford.script.schema import SCRIPT_FUNCTIONS
     from heathford.tls.files import find_key_errors
 
     try:
-        script = read_script(path, words or SCRIPT_FUNCTIONS)
-        if words is None and (wrong := find_key_errors(script)):
-            raise ScriptError(wrong)
-    except ScriptError as problem:
-        click.echo(str(problem), err=True)
+        script = read_script(path, functions or SCRIPT_FUNCTIONS)
+        if functions is None and (key_errors := find_key_errors(script)):
+            raise ScriptError(key_errors)
+    except ScriptError as error:
+        click.echo(str(error), err=True)
         sys.exit(2)
     return script
 
@@ -44,39 +54,43 @@
     "form",
     type=click.Choice(["json", "terminal"]),
     default=None,
-    help="How logs are written; the default looks at standard error.",
+    help="Log format; by default terminal if standard error is one, json otherwise.",
 )
 @click.option("--log-level", default="info", type=click.Choice(["debug", "info", "warning", "error"]))
 @click.version_option(__version__, prog_name="heathford")
 def cli(form: str | None, log_level: str) -> None:
-    """A router for language-model completions whose reading and writing run on separate engines."""
+    """Route requests for language models to separate prefill and decode engines."""
     logs.set_up(form == "json" or (form is None and not sys.stderr.isatty()), log_level)
 
 
 @cli.command()
 @SCRIPT
 def check(script: Path) -> None:
-    """Reads SCRIPT whole and tells every mistake."""
-    found = checked(script)
-    counts = ", ".join(f"{len(calls)} {word}" for word, calls in found.declared.items())
+    """Check the deployment SCRIPT and report all its mistakes."""
+    loaded = load_script(script)
+    counts = ", ".join(f"{len(calls)} {function}" for function, calls in loaded.declared.items())
     click.echo(f"{script}: good: {counts}")
 
 
 @cli.command()
 @SCRIPT
-@click.option("--number", type=int, required=True, help="Which of the script's fronts, from 0.")
-@click.option("--registry", required=True, help="HOST:PORT of the list of engines.")
-@click.option("--with-parent", is_flag=True, help="Ends when standard input closes, as with the parent.")
+@click.option("--number", type=int, required=True, help="Index of the front node in the script, from 0.")
+@click.option("--registry", required=True, help="HOST:PORT of the registry of engines.")
+@click.option(
+    "--with-parent",
+    is_flag=True,
+    help="Exit when standard input closes, as it does when the parent process ends.",
+)
 def front(script: Path, number: int, registry: str, with_parent: bool) -> None:
-    """Runs one front; says its sessions' URL on standard output."""
+    """Run one front node; print the URL of its sessions as JSON."""
     from heathford.front.process import run_front
 
-    declared = checked(script)
+    declared = load_script(script)
     if not 0 <= number < len(declared.all("front")):
         raise click.BadParameter(f"allowed are 0 to {len(declared.all('front')) - 1}", param_hint="--number")
     host, _, port = registry.rpartition(":")
     if not port.isdigit():
-        raise click.BadParameter("allowed is HOST:PORT", param_hint="--registry")
+        raise click.BadParameter("must be HOST:PORT", param_hint="--registry")
 
     def ready(url: str) -> None:
         click.echo(orjson.dumps({"url": url}).decode())
@@ -87,7 +101,10 @@
 
 @cli.command()
 def platform() -> None:
-    """Runs one front node of the platform, as its NODE_* variables tell; exits 2 where they can't be used."""
+    """Run one front node of the platform.
+
+    Its settings are the NODE_* environment variables; the exit status is 2 if they can't be used.
+    """
     from heathford.event_loop import new_event_loop
     from heathford.platform.process import run_node
     from heathford.platform.start import StartError
@@ -95,26 +112,28 @@
     try:
         with asyncio.Runner(loop_factory=new_event_loop) as runner:
             runner.run(run_node(os.environ))
-    except StartError as problem:
-        click.echo(f"heathford: {problem}", err=True)
+    except StartError as error:
+        click.echo(f"heathford: {error}", err=True)
         sys.exit(2)
 
 
 @cli.group("stand-in")
 def stand_in() -> None:
-    """Stand-ins for engines and their list, one a process."""
+    """Run a stand-in for an engine or for the registry."""
 
 
 @stand_in.command()
 @SCRIPT
 @click.option("--name", required=True)
 @click.option("--address", default="127.0.0.1")
-@click.option("--cold", is_flag=True, help="Starts as a new process does, not as one long warm.")
+@click.option(
+    "--cold", is_flag=True, help="Begin with a slow start, not as an engine that has been up for long."
+)
 def engine(script: Path, name: str, address: str, cold: bool) -> None:
-    """Runs the engine of that name."""
+    """Run the stand-in for the engine that SCRIPT declares under a name."""
     from heathford.standin.process import run_engine
 
-    asyncio.run(run_engine(checked(script), name, address, not cold))
+    asyncio.run(run_engine(load_script(script), name, address, not cold))
 
 
 @stand_in.command("registry")
@@ -122,54 +141,62 @@
 @click.option("--address", default="127.0.0.1")
 @click.option("--port", type=int, default=0)
 def registry_(script: Path, address: str, port: int) -> None:
-    """Runs the list of engines."""
+    """Run the stand-in for the registry of engines."""
     from heathford.standin.process import run_registry
 
-    asyncio.run(run_registry(checked(script), address, port))
+    asyncio.run(run_registry(load_script(script), address, port))
 
 
 @cli.command()
 @SCRIPT
-@click.option("--ready-file", type=click.Path(path_type=Path), help="Gets the addresses once all answer.")
-@click.option("--ask", metavar="PROMPT", help="Streams one completion through the first front, then ends.")
+@click.option(
+    "--ready-file",
+    type=click.Path(path_type=Path),
+    help="File to write the URLs to once all processes are ready.",
+)
+@click.option(
+    "--ask", metavar="PROMPT", help="Send one request to the first front node, stream its answer, then exit."
+)
 def up(script: Path, ready_file: Path | None, ask: str | None) -> None:
-    """Runs a whole local deployment: list, engines and fronts, until Ctrl-C or SIGTERM."""
-    from heathford.cli.complete import one
+    """Run a local deployment of registry, engines and front nodes until SIGINT or SIGTERM."""
+    from heathford.cli.complete import run_completion
     from heathford.local.deployment import run_up
 
     async def once_ready(ready: dict[str, Any]) -> int | None:
         if ask is None:
             click.echo(orjson.dumps(ready, option=orjson.OPT_INDENT_2).decode())
             return None
-        trusted = checked(script).all("service_tls")
-        authority = script.parent / trusted[0].authority if trusted and trusted[0].authority else None
-        return await one(
+        service_tls = load_script(script).all("service_tls")
+        authority = (
+            script.parent / service_tls[0].authority if service_tls and service_tls[0].authority else None
+        )
+        return await run_completion(
             ready["fronts"], ready["workloads"][0], ask, 64, None, click.echo, authority=authority
         )
 
-    sys.exit(asyncio.run(run_up(checked(script), ready_file, once_ready)))
+    sys.exit(asyncio.run(run_up(load_script(script), ready_file, once_ready)))
 
 
 @cli.command()
 @click.option("--url", "urls", required=True, multiple=True, help=URLS)
-@click.option("--model", default="headline", show_default=True, help="The workload.")
+@click.option("--model", default="headline", show_default=True, help="Workload of the request.")
 @click.option("--max-tokens", type=int, default=64)
-@click.option("--timeout", type=float, default=None, help="s after which the client gives up.")
-@click.option("--member", default="", help="For whom it is asked.")
+@click.option("--timeout", type=float, default=None, help="Deadline in s, after which the client gives up.")
+@click.option("--member", default="", help="Tenant that owns the requests.")
 @click.option(
     "--authority",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Certificates of the authorities to trust, in PEM.",
+    help="PEM file with the certificates of the trusted authorities.",
 )
 @click.option(
-    "--once", is_flag=True, help="Running it twice would do harm: nothing that may have run is tried again."
+    "--once", is_flag=True, help="The request is non-idempotent: it isn't retried once it may have run."
 )
 @click.option(
     "--retry-share",
     type=float,
     default=0.2,
     show_default=True,
-    help="Tries again for each first try, at the most.",
+    help="Most retries for each new request, on average.",
 )
 @click.argument("prompt")
 def complete(
@@ -183,13 +210,15 @@
     retry_share: float,
     prompt: str,
 ) -> None:
-    """Streams one answer to the terminal and says its final answer; exits 1 unless it finished, 2 where it
-    is not to be asked."""
-    from heathford.cli.complete import one
+    """Send PROMPT as one request and stream its answer to the terminal.
+
+    The exit status is 0 if the request finished, 2 if it is invalid, and 1 otherwise.
+    """
+    from heathford.cli.complete import run_completion
 
     sys.exit(
         asyncio.run(
-            one(
+            run_completion(
                 list(urls),
                 model,
                 prompt,
@@ -213,15 +242,15 @@
     multiple=True,
     default=["headline"],
     show_default=True,
-    help="A workload to choose from; may be given again.",
+    help="A workload to choose from; may be given more than once.",
 )
 @click.option("--max-tokens", type=int, default=64)
 @click.option("--timeout", type=float, default=30.0, show_default=True)
-@click.option("--member", default="", help="For whom it is asked.")
+@click.option("--member", default="", help="Tenant that owns the requests.")
 @click.option(
     "--authority",
     type=click.Path(exists=True, dir_okay=False, path_type=Path),
-    help="Certificates of the authorities to trust, in PEM.",
+    help="PEM file with the certificates of the trusted authorities.",
 )
 def try_(
     urls: tuple[str, ...],
@@ -231,27 +260,34 @@
     member: str,
     authority: Path | None,
 ) -> None:
-    """Opens a terminal interface: prompts side by side, their streams, final answers and guidance."""
+    """Open a terminal interface that shows prompts and their answers side by side."""
     try:
         from heathford.terminal.app import TryApp
     except ImportError:
-        raise click.ClickException("this needs the extra: pip install heathford[terminal]") from None
-    from heathford.cli.complete import client_of
+        raise click.ClickException(
+            "the terminal interface is not installed: pip install heathford[terminal]"
+        ) from None
+    from heathford.cli.complete import make_client
 
     try:
-        TryApp(lambda: client_of(list(urls), member, authority, 0.2), list(models), max_tokens, timeout).run()
-    except ValueError as problem:
-        raise click.BadParameter(str(problem), param_hint="--url") from None
+        TryApp(
+            lambda: make_client(list(urls), member, authority, 0.2), list(models), max_tokens, timeout
+        ).run()
+    except ValueError as error:
+        raise click.BadParameter(str(error), param_hint="--url") from None
 
 
 @cli.command()
 @SCRIPT
 @click.argument("day", type=click.Path(exists=True, dir_okay=False, path_type=Path))
-@click.option("--seconds", type=float, default=None, help="The day's length; the default is the day's own.")
+@click.option("--seconds", type=float, default=None, help="Length of the run; by default as DAY declares it.")
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--report", type=click.Path(path_type=Path), help="A folder that gets recording and logs.")
+@click.option("--report", type=click.Path(path_type=Path), help="Folder for the recording and the logs.")
 def day(script: Path, day: Path, seconds: float | None, seed: int, report: Path | None) -> None:
-    """Plays DAY on a deployment of SCRIPT's own and judges it; exits 1 if a rule broke."""
+    """Play DAY on a new deployment of SCRIPT and check the recording.
+
+    The exit status is 1 if a rule was violated.
+    """
     import tempfile
 
     from heathford.days.judge import judge, show_results
@@ -259,78 +295,98 @@
     from heathford.days.recording import events
     from heathford.days.schema import DAY_FUNCTIONS
 
-    deployment, plan = checked(script), checked(day, DAY_FUNCTIONS)
+    deployment, plan = load_script(script), load_script(day, DAY_FUNCTIONS)
     with tempfile.TemporaryDirectory() as folder:
-        place = report or Path(folder)
-        place.mkdir(parents=True, exist_ok=True)
-        path = place / f"{plan.only('day').name}-{seed}.jsonl"
+        report_folder = report or Path(folder)
+        report_folder.mkdir(parents=True, exist_ok=True)
+        recording_path = report_folder / f"{plan.only('day').name}-{seed}.jsonl"
         asyncio.run(
             play_day(
                 deployment,
                 plan,
                 seconds or plan.only("day").seconds,
                 seed,
-                path,
-                logs=path.with_suffix(".log"),
+                recording_path,
+                logs=recording_path.with_suffix(".log"),
             )
         )
-        found = judge(events(path))
-        show_summary(summarize(path), found.workloads, click.echo)
-        kept = show_results(found, click.echo)
-    sys.exit(0 if kept else 1)
+        judge_result = judge(events(recording_path))
+        show_summary(summarize(recording_path), judge_result.workloads, click.echo)
+        passed = show_results(judge_result, click.echo)
+    sys.exit(0 if passed else 1)
 
 
 @cli.command("judge")
 @click.argument("recording", required=False, type=click.Path(dir_okay=False, path_type=Path))
-@click.option("--self-test", is_flag=True, help="Judges recordings with one seeded breach each.")
-@click.option("--follow", is_flag=True, help="RECORDING still grows: judges it until its end.")
+@click.option(
+    "--self-test",
+    is_flag=True,
+    help="Check built-in recordings instead: clean ones and ones with a violation.",
+)
+@click.option(
+    "--follow", is_flag=True, help="Check RECORDING while it is being written, up to its end event."
+)
 def judge_(recording: Path | None, self_test: bool, follow: bool) -> None:
-    """Judges RECORDING by the five rules; exits 1 if one broke."""
+    """Check RECORDING against the five rules.
+
+    The exit status is 1 if a rule was violated.
+    """
     from heathford.days.judge_scenarios import run_self_test
     import time
 
     from heathford.days.judge import judge, judge_live, show_results
     from heathford.days.recording import events
-    from heathford.days.recording import follow as growing
+    from heathford.days.recording import follow as follow_recording
 
     if self_test:
         sys.exit(0 if run_self_test(click.echo) else 1)
     if recording is None:
-        raise click.UsageError("a RECORDING, or --self-test")
+        raise click.UsageError("RECORDING or --self-test is required")
     try:
         if follow:
-            found = judge_live(growing(recording, lambda: time.sleep(0.2)), click.echo)
-            sys.exit(0 if show_results(found, click.echo) else 1)
+            judge_result = judge_live(follow_recording(recording, lambda: time.sleep(0.2)), click.echo)
+            sys.exit(0 if show_results(judge_result, click.echo) else 1)
         sys.exit(0 if show_results(judge(events(recording)), click.echo) else 1)
-    except (ValueError, KeyError, OSError) as problem:
-        raise click.ClickException(f"no recording: {problem!r}") from None
+    except (ValueError, KeyError, OSError) as error:
+        raise click.ClickException(f"the recording can't be read: {error!r}") from None
 
 
 @cli.group()
 def soak() -> None:
-    """Long runs, judged while they go on."""
+    """Run front nodes for a long time and check them meanwhile."""
 
 
 @soak.command("faults")
-@click.option("--seeds", default="1..1", show_default=True, help="From and to, or a list: 1..20, 3,8,11.")
-@click.option("--seconds", type=float, default=20.0, show_default=True, help="Of each seed.")
+@click.option(
+    "--seeds", default="1..1", show_default=True, help="Seeds as a range or a list: 1..20 or 3,8,11."
+)
+@click.option(
+    "--seconds", type=float, default=20.0, show_default=True, help="Length of the run of each seed."
+)
 @click.option("--fronts", type=click.IntRange(1, 40), default=10, show_default=True)
 @click.option(
-    "--report", type=click.Path(path_type=Path), required=True, help="A folder for records and logs."
+    "--report", type=click.Path(path_type=Path), required=True, help="Folder for the recordings and the logs."
 )
-@click.option("--replay", type=click.Path(exists=True, path_type=Path), help="A plan.json to play.")
-@click.option("--shrink", "shrinks", is_flag=True, help="Look for fewer troubles that break the same rule.")
+@click.option(
+    "--replay",
+    type=click.Path(exists=True, path_type=Path),
+    help="Run this plan.json instead of plans from seeds.",
+)
+@click.option("--shrink", "shrinks", is_flag=True, help="Search for fewer faults that violate the same rule.")
 def soak_faults(
     seeds: str, seconds: float, fronts: int, report: Path, replay: Path | None, shrinks: bool
 ) -> None:
-    """Real front nodes under overlapping troubles; exits 1 if a rule broke."""
+    """Run front nodes under overlapping faults.
+
+    The exit status is 1 if a rule was violated.
+    """
     from heathford.soak.plan import parse_plan
     from heathford.soak.report import run_plan, print_outcome
     from heathford.soak.report import run_seeds as soak_seeds
 
     report.mkdir(parents=True, exist_ok=True)
-    # As at an interrupt: the front nodes end with the run. By the event loop's own handler of SIGINT, which
-    # waits for a front node that is just being started; raised there, nobody would know of that one.
+    # Handles SIGTERM like SIGINT, so that the front nodes end with the run. The event loop's SIGINT handler
+    # waits for a front node that is being started; an exception during its start would leave it running.
     signal.signal(signal.SIGTERM, lambda *_: signal.raise_signal(signal.SIGINT))
     if replay:
         outcome = run_plan(parse_plan(replay.read_text()), fronts, report)
@@ -340,7 +396,7 @@
     for part in seeds.split(","):
         first, dots, last = part.partition("..")
         if not (first.isdigit() and (last if dots else first).isdigit()):
-            raise click.BadParameter("allowed are A..B and A,B,C", param_hint="--seeds")
+            raise click.BadParameter("must be A..B or A,B,C", param_hint="--seeds")
         numbers += range(int(first), int(last or first) + 1)
     sys.exit(bool(soak_seeds(numbers, seconds, fronts, report, shrinks, click.echo)))
 
@@ -360,9 +416,12 @@
     default=Path("days/soak.star"),
     show_default=True,
 )
-@click.option("--report", type=click.Path(path_type=Path), help="A folder that gets recording and logs.")
+@click.option("--report", type=click.Path(path_type=Path), help="Folder for the recording and the logs.")
 def soak_sessions(minutes: float, seed: int, script: Path, day: Path, report: Path | None) -> None:
-    """Editors that type, try again, leave and come back while troubles loop; exits 1 if a rule broke."""
+    """Play a day of clients that retry, leave and return while faults repeat.
+
+    The exit status is 1 if a rule was violated.
+    """
     import subprocess
     import tempfile
 
@@ -371,50 +430,64 @@
     from heathford.days.recording import events
     from heathford.days.schema import DAY_FUNCTIONS
 
-    deployment, plan = checked(script), checked(day, DAY_FUNCTIONS)
+    deployment, plan = load_script(script), load_script(day, DAY_FUNCTIONS)
     with tempfile.TemporaryDirectory() as folder:
-        place = report or Path(folder)
-        place.mkdir(parents=True, exist_ok=True)
-        path = place / f"soak-{seed}.jsonl"
-        path.unlink(missing_ok=True)
-        judging = subprocess.Popen(
-            [sys.executable, "-m", "heathford.cli.main", "judge", "--follow", str(path)]
+        report_folder = report or Path(folder)
+        report_folder.mkdir(parents=True, exist_ok=True)
+        recording_path = report_folder / f"soak-{seed}.jsonl"
+        recording_path.unlink(missing_ok=True)
+        judge_process = subprocess.Popen(
+            [sys.executable, "-m", "heathford.cli.main", "judge", "--follow", str(recording_path)]
         )
         try:
-            asyncio.run(play_day(deployment, plan, 60 * minutes, seed, path, logs=path.with_suffix(".log")))
-            heading = Judge()
-            for event in events(path):
-                heading.add_event(event)
-                if heading.workloads:
+            asyncio.run(
+                play_day(
+                    deployment,
+                    plan,
+                    60 * minutes,
+                    seed,
+                    recording_path,
+                    logs=recording_path.with_suffix(".log"),
+                )
+            )
+            header_judge = Judge()
+            for event in events(recording_path):
+                header_judge.add_event(event)
+                if header_judge.workloads:
                     break
-            show_summary(summarize(path), heading.workloads, click.echo)
-            code = judging.wait()
+            show_summary(summarize(recording_path), header_judge.workloads, click.echo)
+            code = judge_process.wait()
         finally:
-            judging.kill()
+            judge_process.kill()
     sys.exit(code)
 
 
 @cli.group()
 def fuzz() -> None:
-    """Hostile clients, and broken files."""
+    """Test front nodes with invalid frames and the store with corrupt files."""
 
 
 @fuzz.command("sessions")
 @click.option("--seconds", type=float, default=60.0, show_default=True)
 @click.option("--seed", type=int, default=1, show_default=True)
-@click.option("--keep", type=click.Path(path_type=Path), help="A folder for shrunk cases that failed.")
+@click.option("--keep", type=click.Path(path_type=Path), help="Folder for the failed cases, shrunk.")
 def fuzz_sessions(seconds: float, seed: int, keep: Path | None) -> None:
-    """Random frames, right and wrong; exits 1 if any was answered otherwise than the RFC says."""
-    from heathford.fuzz.sessions import fuzz as run
+    """Send random valid and invalid WebSocket frames to a front node.
+
+    The exit status is 1 if any was answered otherwise than the RFC says.
+    """
+    from heathford.fuzz.sessions import fuzz as fuzz_frames
 
-    sys.exit(1 if asyncio.run(run(seconds, seed, keep, click.echo)) else 0)
+    sys.exit(1 if asyncio.run(fuzz_frames(seconds, seed, keep, click.echo)) else 0)
 
 
 @fuzz.command("store")
 @click.option("--records", type=int, default=9, show_default=True)
 def fuzz_store(records: int) -> None:
-    """Cuts a small store at every byte and flips every byte; exits 1 if any was neither covered, torn nor
-    told."""
+    """Truncate a small store at every byte and flip a bit of every byte.
+
+    The exit status is 1 if the store lost more than a torn end without reporting damage.
+    """
     from heathford.fuzz.store import corrupt_every_byte
 
     sys.exit(1 if corrupt_every_byte(records, click.echo)[2] else 0)
@@ -422,67 +495,71 @@
 
 @cli.group()
 def store() -> None:
-    """A front's store, while no front has it open."""
+    """Inspect or repair a front node's store that no process has open."""
 
 
 FOLDER = click.argument("folder", type=click.Path(path_type=Path))
 
 
-def store_files(folder: Path) -> Any:
+def open_store(folder: Path) -> Any:
+    """Return the files of the store in the folder; raise ClickException if they are locked or unreadable."""
     from heathford.store.files import LockedError
     from heathford.store.tools import open_store_files
 
     try:
         return open_store_files(folder)
-    except (LockedError, OSError) as problem:
-        raise click.ClickException(str(problem)) from None
+    except (LockedError, OSError) as error:
+        raise click.ClickException(str(error)) from None
 
 
 @store.command("check")
 @FOLDER
-@click.option("--repair", is_flag=True, help="Cuts off a torn end. Damage is never touched.")
+@click.option("--repair", is_flag=True, help="Cut off a torn end. Damaged records are never changed.")
 def store_check(folder: Path, repair: bool) -> None:
-    """Tells damage from a torn end; exits 0 whole, 1 torn, 2 damaged."""
-    from heathford.store.tools import check as run
+    """Check the store for damage and a torn end.
+
+    The exit status is 0 without a fault, 1 with a torn end, and 2 if data is lost.
+    """
+    from heathford.store.tools import check as check_files
 
-    sys.exit(run(store_files(folder), repair, click.echo))
+    sys.exit(check_files(open_store(folder), repair, click.echo))
 
 
 @store.command("stat")
 @FOLDER
 def store_stat(folder: Path) -> None:
-    """What is in it, by name space, and how much disk that takes."""
+    """Print the numbers of entries by namespace and the disk space used."""
     from heathford.store.tools import stat
 
-    click.echo(orjson.dumps(stat(store_files(folder)), option=orjson.OPT_INDENT_2).decode())
+    click.echo(orjson.dumps(stat(open_store(folder)), option=orjson.OPT_INDENT_2).decode())
 
 
 @store.command("dump")
 @FOLDER
-@click.option("--space", default="", help="Only this name space.")
+@click.option("--space", default="", help="Print only this namespace.")
 def store_dump(folder: Path, space: str) -> None:
-    """Entries in order, a line of JSON each."""
+    """Print the entries in order, one line of JSON each."""
     from heathford.store.tools import dump
 
-    for entry in dump(store_files(folder), space):
+    for entry in dump(open_store(folder), space):
         click.echo(orjson.dumps(entry).decode())
 
 
 @store.command("compact")
 @FOLDER
 def store_compact(folder: Path) -> None:
-    """Writes what is there anew and drops the log before it."""
+    """Write new snapshots and remove the log before them."""
     from heathford.store.journal import DamageError, JournalError
     from heathford.store.tools import compact
 
     try:
-        before, after = compact(store_files(folder))
-    except (DamageError, JournalError) as problem:
-        raise click.ClickException(str(problem)) from None
+        before, after = compact(open_store(folder))
+    except (DamageError, JournalError) as error:
+        raise click.ClickException(str(error)) from None
     click.echo(f"{before} bytes before, {after} after")
 
 
-add_to(cli)
+add_batch_commands(cli)
 
 if __name__ == "__main__":
     cli()
