--- a/heathford/batch/runner.py
+++ b/heathford/batch/runner.py
@@ -24,7 +24,7 @@
 
 SPACE = "batches"  # namespace in the store
 RESULT_WRITE_DELAY_SECONDS = 0.05  # results are gathered for one write: a sync for each would be too slow
-SCHEDULE_INTERVAL_SECONDS = 0.05  # between two checks of the concurrency limit and of the windows
+SCHEDULE_INTERVAL_SECONDS = 0.05  # between two checks of the concurrency limit and the completion windows
 DISK_RETRY_SECONDS = 2.0  # until a failed write is repeated
 
 log = structlog.get_logger()
@@ -50,7 +50,7 @@
 class LineRequest:
     """One line in flight, submitted through a session of its own, whose results it receives."""
 
-    slow = False
+    slow = False  # of SessionWriter: results are taken at once
 
     def __init__(self, runner: "Runner", active: ActiveBatch, index: int, line: Line) -> None:
         self.runner, self.active, self.index, self.line = runner, active, index, line
@@ -58,7 +58,7 @@
         self.first_token_time: float | None = None
         self.ended = False
         self.session = Session(runner.manager, self, runner.manager.next_session_name())
-        self.session.interactive = False
+        self.session.interactive = False  # its latency must not count as that of a client who waits
 
     def resume_reading(self) -> None:
         """Do nothing: the session has only this one request."""
@@ -110,6 +110,7 @@
             self.fail(request_id, "aborted", why)
 
     def conflict(self, key: Any) -> None:
+        """Fail the line: its idempotency key was already used for another request."""
         self.fail("", "conflict", "the line's key stands for another completion")
 
     @property
@@ -312,6 +313,7 @@
         request = dict(line.request)
         # The idempotency key of a line is the same after a restart of the front node. A request that may have
         # run is not run again where that is unsafe, and one that had finished returns its stored answer.
+        # The argument is called "mark"; it has nothing to do with Batch.marks.
         request["mark"] = f"{batch_id}-{line.number}"
         request["member"] = active.batch.member
         line_request = active.in_flight[index] = LineRequest(self, active, index, line)
@@ -336,7 +338,10 @@
             self.changed.set()
 
     def retry_later(self, line_request: LineRequest, delay: float, slow: bool) -> None:
-        """Queue a line for another attempt after `delay` s; `slow`: it was rate-limited."""
+        """Queue a line for another attempt after `delay` s.
+
+        `slow`: it was rate-limited, which counts as an infinite time to the first token if none came.
+        """
         if slow:
             self.record_first_token(line_request)
         self.line_ended(line_request)
@@ -352,7 +357,7 @@
                     line_request.line.custom_id,
                     "",
                     "batch_" + line_request.active.final_status.value,
-                    "the batch ended before",
+                    "the batch ended before",  # that is, before the line had a result
                 ),
             )
 
--- a/heathford/batch/state.py
+++ b/heathford/batch/state.py
@@ -5,7 +5,7 @@
 from enum import Enum
 from typing import Any
 
-MAX_RATE_LIMITED_ATTEMPTS = 50  # of one line; hours in all, with the delays below
+MAX_RATE_LIMITED_ATTEMPTS = 50  # of one line; with the delays below, 49 retries take about 43 min at least
 RETRY_DELAY_SECONDS = 0.5  # before a rate-limited line is retried, doubled each time
 MAX_RETRY_DELAY_SECONDS = 60.0
 MAX_ABORTED_ATTEMPTS = 3  # of one line; after these the line itself is taken to be the cause
@@ -82,7 +82,7 @@
         return bool(self.marks[index // 8] & 1 << index % 8)
 
     def mark_answered(self, index: int, succeeded: bool) -> bool:
-        """Count a line's result; return False if it had one already, which must not be written again."""
+        """Count a line's result; return False, and count nothing, if it had one already."""
         if self.is_answered(index):
             return False
         self.marks[index // 8] |= 1 << index % 8
--- a/heathford/days/faults.py
+++ b/heathford/days/faults.py
@@ -1,4 +1,7 @@
-"""Inject the faults of a day's script into a deployment at their times, and undo them."""
+"""Inject the faults of a day's script into a deployment at their times, and undo them.
+
+A day is a scripted run, of any length.
+"""
 
 import asyncio
 import signal
@@ -45,7 +48,10 @@
         ]
 
     async def run(self, fault: Declaration, seconds: float) -> None:
-        """Inject a fault at its time, as often as it says; seconds: the length of the day."""
+        """Inject a fault at its time, as often as it says.
+
+        seconds: the length of the run, of which fault.at is a share.
+        """
         loop = asyncio.get_running_loop()
         at = loop.time() + fault.at * seconds + fault.after
         await asyncio.sleep(at - loop.time())
@@ -89,7 +95,8 @@
             "silent": ({"do": "silent", "on": True}, {"do": "silent", "on": False}),
             "stall": ({"do": "stall", "for": fault.lasts}, None),
             "slow": ({"do": "slow", "times": fault.times}, {"do": "slow", "times": 1.0}),
-            "forget": ({"do": "forget"}, None),
+            "forget": ({"do": "forget"}, None),  # empties the prefix cache
+            # Its requests of this workload are rejected as at a full engine.
             "full_to": ({"do": "full_to", "workload": fault.workload}, {"do": "full_to", "workload": ""}),
         }
         if fault.do in commands:
@@ -102,7 +109,7 @@
             for relay in self.relays_to(name):
                 for connection in list(relay.connections):
                     connection.reset()
-        elif fault.do == "half":
+        elif fault.do == "half":  # the next answer is cut off midway
             for relay in self.relays_to(name):
                 relay.cut_next_after = CUT_OFF_AFTER
         elif fault.do == "drain":
@@ -149,7 +156,7 @@
         await self.deployment.tell_registry({"do": "put", "item": item})
 
     async def cut_zone(self, zone: str, lasts: float) -> None:
-        """Partition a zone from the others: neither attempts nor prefill states pass."""
+        """Partition a zone: neither attempts nor transfers of prefill states cross its border."""
         zones = {r.name: r.zone for r in self.script.all("rack")}
         engine_zones = {e.name: zones[e.rack] for e in self.script.all("engine")}
         front_zones = {f.name: f.zone for f in self.script.all("front")}
@@ -188,13 +195,13 @@
             await tell({"do": command, "on": False})
         elif do == "compact_list":
             await tell({"do": "compact"})
-        elif lasts:
+        elif lasts:  # cut_list: the registry can't be reached for that time
             for cut in (True, False):
                 for (_, to), relay in self.relays.items():
                     if not to:
                         await relay.set_down(cut)
                 await asyncio.sleep(lasts * cut)
-        else:
+        else:  # cut_list: the registry resets its connections once
             await tell({"do": "cut"})
 
     async def terminate_front(self, name: str, lasts: float, kill: bool) -> None:
--- a/heathford/days/sniff.py
+++ b/heathford/days/sniff.py
@@ -16,7 +16,8 @@
         self.from_front, self.from_engine = bytearray(), bytearray()
         self.attempt_name = ""  # of the request in flight, or the last one
         self.method = ""
-        self.in_flight = self.has_first_chunk = self.chunked = self.in_body = False
+        # has_first_text: whether a chunk with text came; a comment alone does not count.
+        self.in_flight = self.has_first_text = self.chunked = self.in_body = False
         self.body_bytes_left = 0
         self.status = 0
         self.body = bytearray()
@@ -40,6 +41,7 @@
     def start_request(self, path: str, name: str, idempotency_key: str, body: bytes) -> None:
         if self.method == "DELETE":
             self.attempt_name = path.rsplit("/", 1)[-1]
+            # Release of a prefill state; the text stands in recordings, as "let go answered" below does.
             self.note("let go", name=self.attempt_name)
         else:
             request: dict[str, Any] = orjson.loads(body)
@@ -49,11 +51,13 @@
                 "sent",
                 name=name,
                 workload=request.get("model"),
+                # Keys of recordings. reading: whether it is a prefill attempt; state: the prefill attempt
+                # whose state a decode attempt fetches; mark: the idempotency key.
                 reading=bool(kv.get("do_remote_decode")),
                 state=kv.get("remote_request_id") if kv.get("do_remote_prefill") else None,
                 mark=idempotency_key,
             )
-        self.in_flight, self.has_first_chunk, self.in_body = True, False, False
+        self.in_flight, self.has_first_text, self.in_body = True, False, False
 
     def data_to_front(self, data: bytes) -> None:
         self.from_engine += data
@@ -70,7 +74,7 @@
                 self.body_bytes_left = int(length) if length else 0
                 self.in_body, self.body = True, bytearray()
             if self.chunked:
-                if not self.skip_chunk():
+                if not self.process_chunk():
                     return
             else:
                 part = self.from_engine[: self.body_bytes_left]
@@ -81,8 +85,12 @@
                     return
                 self.end_attempt("answered")
 
-    def skip_chunk(self) -> bool:
-        """Remove one chunk of the body from the buffer; return False if it hasn't arrived whole."""
+    def process_chunk(self) -> bool:
+        """Process one chunk of the body and remove it from the buffer.
+
+        Return False if it hasn't arrived whole. Records the first chunk that carries text, and the end of the
+        attempt.
+        """
         line = self.from_engine.find(b"\r\n")
         if line < 0:
             return False
@@ -96,8 +104,8 @@
             return True
         if len(self.from_engine) < line + 2 + size + 2:
             return False
-        if not self.has_first_chunk and b'"text"' in self.from_engine[line + 2 : line + 2 + size]:
-            self.has_first_chunk = True
+        if not self.has_first_text and b'"text"' in self.from_engine[line + 2 : line + 2 + size]:
+            self.has_first_text = True
             if self.method == "POST":
                 self.note("first", name=self.attempt_name)
         del self.from_engine[: line + 2 + size + 2]
@@ -118,7 +126,7 @@
                 name=self.attempt_name,
                 how=outcome,
                 status=status,
-                first=self.has_first_chunk,
+                first=self.has_first_text,
                 gone=status == 410 and b"kv_state_gone" in self.body,
             )
         else:
--- a/heathford/script/schema.py
+++ b/heathford/script/schema.py
@@ -129,14 +129,14 @@
             "target_per_1000": Field(SECONDS),
             "client_timeout": Field(POSITIVE_SECONDS),
             "token_target": Field(POSITIVE_SECONDS),
-            "effect": Field(one_of("idempotent", "tokened", "non-idempotent")),
+            "effect": Field(one_of("idempotent", "tokened", "non-idempotent")),  # tokened: idempotency-keyed
             # The engines that share their idempotency keys; a cell is a rack.
             "group": Field(one_of("all", "zone", "cell"), required=False, default="all"),
-            "memory_time": Field(SECONDS, required=False, default=0.0),
+            "memory_time": Field(SECONDS, required=False, default=0.0),  # s that engines remember the keys
             "value": Field(number(0.0, 1e9)),
-            "longest": Field(integer(1, 10_000_000)),
+            "longest": Field(integer(1, 10_000_000)),  # answer, in tokens
             "bytes_per_token": Field(number(0.1, 100.0)),
-            "most_prompt": Field(integer(1, 10**9)),
+            "most_prompt": Field(integer(1, 10**9)),  # tokens
         },
         min_calls=1,
     ),
@@ -171,7 +171,9 @@
     "safety": FunctionSpec(
         {
             "drain_grace": Field(number(0.5, 2.0)),
-            "pin_limit": Field(number(0.3, 1.0)),
+            "pin_limit": Field(number(0.3, 1.0)),  # s for which a prefill state may be held
+            # Slow start: an engine starts with the share cold_from of its capacity, and has all of it after
+            # warm_after s. In any cold_window s it may get cold_multiple times what its capacity allows.
             "cold_from": Field(number(0.01, 1.0)),
             "cold_multiple": Field(number(1.0, 100.0)),
             "cold_window": Field(POSITIVE_SECONDS),
@@ -198,21 +200,21 @@
     ),
     "sessions": FunctionSpec(
         {
-            "most": Field(integer(1, 10_000_000)),
-            "most_out": Field(integer(1, 1_000_000)),
+            "most": Field(integer(1, 10_000_000)),  # sessions of a front node
+            "most_out": Field(integer(1, 1_000_000)),  # requests in progress, of one session
             "longest_message": Field(integer(1024, 2**30)),
             "unsent": Field(integer(1024, 2**30)),
-            "most_held": Field(integer(1024, 2**40)),
-            "read_ahead": Field(integer(1024, 2**40)),
-            "most_waiting": Field(integer(0, 1_000_000)),
+            "most_held": Field(integer(1024, 2**40)),  # bytes of unanswered requests, of all sessions
+            "read_ahead": Field(integer(1024, 2**40)),  # bytes of unanswered requests, of one session
+            "most_waiting": Field(integer(0, 1_000_000)),  # requests that wait, of one session
             "ping": Field(POSITIVE_SECONDS),
             "pong": Field(POSITIVE_SECONDS),
             "idle": Field(POSITIVE_SECONDS),
             "slow": Field(POSITIVE_SECONDS),
-            "come_back": Field(SECONDS),
-            "identities": Field(integer(0, 10**8)),
+            "come_back": Field(SECONDS),  # s for which a final answer is kept for a repeat
+            "identities": Field(integer(0, 10**8)),  # idempotency keys kept
             "stop_within": Field(SECONDS),
-            "farewell": Field(SECONDS),
+            "farewell": Field(SECONDS),  # s over which a stopping front node closes its sessions
             "compress": Field(boolean),
         },
         min_calls=1,
@@ -245,7 +247,9 @@
         max_calls=1,
     ),
     "store": FunctionSpec(
-        {"folder": REQUIRED_TEXT, "without": Field(one_of("refuse", "serve"))}, max_calls=1
+        # without: what a front node does, without its store, with requests that must not run twice.
+        {"folder": REQUIRED_TEXT, "without": Field(one_of("refuse", "serve"))},
+        max_calls=1,
     ),
     "batches": FunctionSpec(
         {
--- a/heathford/sessions/guidance.py
+++ b/heathford/sessions/guidance.py
@@ -1,4 +1,4 @@
-"""Guidance for clients on repeating a request, the same in both protocols since version 2. Does no I/O."""
+"""Guidance for clients on repeating a request, over WebSocket and HTTP, since version 2. Does no I/O."""
 
 from enum import Enum
 
@@ -15,7 +15,7 @@
 
 
 def retry_field(retry: Retry, version: int) -> dict[str, str]:
-    """Return the guidance as a field, or no field in versions that don't have it."""
+    """Return the guidance as a field, or no field in version 1."""
     return {"retry": retry.value} if version > PREVIOUS_VERSION else {}
 
 
--- a/heathford/sessions/versions.py
+++ b/heathford/sessions/versions.py
@@ -22,7 +22,7 @@
 
 
 def version_from_header(named: str | None) -> int:
-    """Return the version named in the header, or the default. Raises VersionError."""
+    """Return the version named in the header, or version 1 if there is none. Raises VersionError."""
     if named is None:
         return PREVIOUS_VERSION
     if named.strip().isdigit() and int(named) in SERVED_VERSIONS:
--- a/heathford/sessions/websocket.py
+++ b/heathford/sessions/websocket.py
@@ -38,6 +38,7 @@
     """One WebSocket connection, and the MessageWriter of its session."""
 
     def initialize(self, sockets: "SessionServer") -> None:
+        """Take the server of all sessions, which tornado passes under the key given in `application`."""
         self.session_server = sockets
         self.rpc: JsonRpcSession | None = None
         self.version = PREVIOUS_VERSION
@@ -129,6 +130,7 @@
 
     @property
     def slow(self) -> bool:
+        """Whether more than `max_unsent` bytes are unsent."""
         return self.protocol is not None and self.protocol.unsent > self.session_server.max_unsent
 
     def resume_reading(self) -> None:
@@ -180,11 +182,11 @@
             compress,
             seed,
         )
-        self.open: dict[SessionSocket, None] = {}
+        self.open: dict[SessionSocket, None] = {}  # connections with a session, as an ordered set
         self.check_schedule: CheckSchedule[SessionSocket] = CheckSchedule()
         self.timer: asyncio.TimerHandle | None = None
         self.next_check = float("inf")
-        self.all_closed = asyncio.Event()  # set when the last session ends
+        self.all_closed = asyncio.Event()  # set each time the last session ends; cleared before a wait
         self.closed_counts: dict[str, int] = {}  # sessions closed by the front node, by reason
 
     def params(self, socket: SessionSocket) -> Any:
@@ -206,7 +208,7 @@
 
     def end_session(self, socket: SessionSocket) -> None:
         """Forget the session of a closed connection."""
-        if self.open.pop(socket, 0) is None:
+        if self.open.pop(socket, 0) is None:  # it was in `open`, whose values are None
             self.manager.capacity.sessions -= 1
             self.check_schedule.forget(socket)
             if not self.open:
@@ -249,6 +251,7 @@
             socket.close(CLOSE_NORMAL, "idle")
         else:
             if action is LivenessAction.SLOW:
+                # For the client: it does not read its messages.
                 socket.close(CLOSE_SLOW, "what is said is not taken")
             if socket.protocol:
                 socket.protocol.stream.close()  # no closing handshake: the client is gone or reads nothing
@@ -291,6 +294,7 @@
         if socket.rpc and socket.rpc.session.requests:
             asyncio.get_running_loop().call_later(0.05, self.close_session, socket)
             return
+        # Close reason for the client: this front node stops.
         socket.close(CLOSE_GOING_AWAY, "the front stops")
 
     def close(self) -> None:
--- a/heathford/soak/client.py
+++ b/heathford/soak/client.py
@@ -15,11 +15,12 @@
 from heathford.soak.records import Record, RecordKind
 
 RecordCallback = Callable[[Record], None]
-STALL_TIMEOUT = 5.0  # s that a client waits for the rest of an answer after LATE_ANSWER_WAIT
+STALL_TIMEOUT = 5.0  # s added to LATE_ANSWER_WAIT, for an answer that stalls or never comes
 LATE_ANSWER_WAIT = 2.0  # s past its time budget that a client waits for an answer that is late
 THINK_TIMES = (0.05, 0.5)  # s; shortest and longest pause between two requests
 BUDGET_FRACTIONS = (0.3, 0.5, 1.0)  # of the deployment's longest deadline
 PROMPT_SIZES = (36, 2_000, 60_000, 250_000)  # bytes; a body may have 256 KiB at most
+# chat is idempotent, booking non-idempotent, and order is sent with an idempotency key.
 REQUEST_CLASSES = ("chat", "booking", "order")
 LEAVE_PROBABILITY = 0.05  # that a client closes its connection early, without a CLIENTS_LEAVE fault
 
@@ -132,6 +133,7 @@
             async with asyncio.timeout(budget / 1000 + LATE_ANSWER_WAIT + STALL_TIMEOUT):
                 await self.read_answer(name, reused)
         except TimeoutError:
+            # Also where the answer had begun, but did not end.
             self.record(RecordKind.LOST, name, text="never answered")
             self.disconnect()
 
@@ -177,7 +179,8 @@
     async def misbehave(self) -> None:
         """Send an incomplete or malformed request on a new connection and record how long it stays open.
 
-        The front node has to answer or to close the connection within 3 s.
+        The front node has to answer or to close the connection within oracle.BAD_CLIENT_TIMEOUT (3 s). The
+        client waits 1 s longer, so that an excess is seen.
         """
         ready = [front for front in self.fronts if front.ready]
         if not ready:
--- a/heathford/soak/hook/sitecustomize.py
+++ b/heathford/soak/hook/sitecustomize.py
@@ -1,8 +1,12 @@
 """Fault injection into front nodes of the soak: failing system calls and a stepping wall clock.
 
 The interpreter loads this module at its start, as its folder is on PYTHONPATH; the program itself does not
-know of it. SOAK_SHIMS is a JSON list of [kind, from, until, clock step] with times in s on the machine's
-monotonic clock; kind is the name of a FaultKind member. Only CLOCK uses the clock step, in s.
+know of it. Its patches stay installed; SOAK_SHIMS says when which fault is active. It is a JSON list of
+[kind, from, until, clock step] with times in s on the machine's monotonic clock; kind is the name of a
+FaultKind member. Only CLOCK uses the clock step, in s.
+
+LOOKS_FAIL: calls that wait for, inspect or control sockets (poll, epoll_ctl, shutdown, ioctl) fail. It has
+nothing to do with looking up names.
 """
 
 import errno
@@ -17,18 +21,18 @@
 from typing import Any
 
 SHIMS = json.loads(os.environ.get("SOAK_SHIMS", "[]"))
-FAILURE_PROBABILITY = 0.3  # of a call while its shim is active
-EINTR_PROBABILITY = 0.3  # of a send or receive that the shim affects
-NO_MEMORY_PROBABILITY = 0.2  # of a send or receive that the shim affects
+FAILURE_PROBABILITY = 0.3  # of a call while the fault of its kind is active
+EINTR_PROBABILITY = 0.3  # of a send or receive that the fault affects
+NO_MEMORY_PROBABILITY = 0.2  # of a send or receive that the fault affects
 NO_MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
 EPOLL_ERRORS = (errno.ENOMEM, errno.ENOSPC)
-BREAK_PROBABILITY = 0.02  # of a connection, at each send or receive during LINK_BREAKS
+BREAK_PROBABILITY = 0.02  # that a send or receive fails as on a broken connection, during LINK_BREAKS
 LOG_DESCRIPTOR = 2  # standard error
 random_source = random.Random(os.getpid())
 
 
 def active_shim_value(kind: str) -> float | None:
-    """Return the clock step given with the active shim of that kind, or None if none is active."""
+    """Return the clock step given with the active fault of that kind, or None if none is active."""
     now = time.monotonic()
     return next(
         (
@@ -41,7 +45,7 @@
 
 
 def should_fail(kind: str) -> bool:
-    """Return whether to fail the present call: at random while a shim of that kind is active."""
+    """Return whether to fail the present call: at random while a fault of that kind is active."""
     return active_shim_value(kind) is not None and random_source.random() < FAILURE_PROBABILITY
 
 
@@ -94,7 +98,7 @@
 
 
 def raise_at_random() -> None:
-    """Raise EINTR, ENOBUFS or ENOMEM instead of shortening a send or receive, at random."""
+    """Raise EINTR, ENOBUFS or ENOMEM at random; if it returns, the caller shortens its send or receive."""
     number = random_source.random()
     if number < EINTR_PROBABILITY:
         raise InterruptedError(errno.EINTR, "shim")
@@ -103,7 +107,10 @@
 
 
 def break_link() -> None:
-    """Break a connection at random while LINK_BREAKS is active, as if its peer had vanished."""
+    """Raise ETIMEDOUT or EHOSTUNREACH at random while LINK_BREAKS is active, as if the peer had vanished.
+
+    The connection itself stays open: later calls may succeed.
+    """
     if active_shim_value("LINK_BREAKS") is not None and random_source.random() < BREAK_PROBABILITY:
         raise OSError(random_source.choice((errno.ETIMEDOUT, errno.EHOSTUNREACH)), "shim")
 
--- a/heathford/soak/relay.py
+++ b/heathford/soak/relay.py
@@ -12,7 +12,7 @@
 SMALL_RECEIVE_BUFFER = 4_096  # bytes; for connections that are never read or read at intervals
 DRIP_INTERVAL = 0.002  # s between two bytes
 DRIP_BYTES = 200  # sent byte by byte before the rest of the data
-STEP_INTERVAL = 0.1  # s without reading; less than the 0.12 s after which front nodes check the progress
+STEP_INTERVAL = 0.1  # s without reading; below STALLED_AFTER + PROGRESS_CHECK_INTERVAL of policy.transfer
 STEP_READ_TIME = 0.004  # s; enough to read some tens of kilobytes
 DELAY = 0.2  # s
 SILENCE_FAULTS = (
@@ -21,7 +21,7 @@
     FaultKind.ENGINE_STOPPED,
 )  # data is read, but not passed on
 QUEUE_FILLERS = 2  # connections that fill an accept queue of length 0
-CUT_AFTER_BYTES = 90  # of the data read at once, these bytes are still passed on
+CUT_AFTER_BYTES = 90  # the first bytes of one read, passed on before all connections are reset
 
 
 class ConnectionObserver:
@@ -38,7 +38,10 @@
 
 
 class Relay:
-    """Listens on a port and passes data on to `target_address`, subject to the active faults."""
+    """Listens on a port and passes data on to `target_address`, subject to the active faults of the soak.
+
+    heathford.days.tap.Relay is a different class, with other faults.
+    """
 
     def __init__(
         self, target_address: Callable[[], tuple[str, int]], make_observer: Callable[[], ConnectionObserver]
@@ -148,7 +151,7 @@
                     end.close()
 
     def read_in_steps(self, writer: asyncio.StreamWriter) -> None:
-        """Read the connection only for a moment at intervals while LINK_STEPS is active."""
+        """Read from the front node only for a moment at intervals while LINK_STEPS is active."""
 
         async def steps() -> None:
             transport = writer.transport
--- a/heathford/store/views.py
+++ b/heathford/store/views.py
@@ -8,7 +8,7 @@
 
 from heathford.store.format import Change
 
-Entry = tuple[bytes, float | None]  # value, and the store time in s at which it expires
+Entry = tuple[bytes, float | None]  # value, and the store time (s; never runs backwards) at which it expires
 EMPTY: PMap[bytes, Entry] = pmap()
 
 
@@ -37,7 +37,10 @@
 
 
 class View:
-    """Immutable content of the store after one record; the next view shares all that did not change."""
+    """Immutable content of the store up to a sequence number; the next view shares all that did not change.
+
+    Where methods take `now`, it is the store time in s.
+    """
 
     __slots__ = ("ordered_keys", "sequence", "spaces", "time")
 
